--- a/Makefile
+++ b/Makefile
@@ -2,9 +2,11 @@
 
 GOLANGCI_LINT_VERSION := v2.15.0
 STRINGER_VERSION := v0.52.0
+GOPLS_VERSION := v0.23.0
 BIN := $(CURDIR)/bin
 LINTER := $(BIN)/golangci-lint-$(GOLANGCI_LINT_VERSION)
 STRINGER := $(BIN)/stringer-$(STRINGER_VERSION)
+GOPLS := $(BIN)/gopls-$(GOPLS_VERSION)
 
 .PHONY: all build demo test lint bench soak docs generate format mutants fuzz clean
 
@@ -49,6 +51,11 @@
 	GOBIN=$(BIN)/tools GOWORK=off GOFLAGS= go install golang.org/x/tools/cmd/stringer@$(STRINGER_VERSION)
 	touch $@
 
+# Renames of identifiers across both modules.
+$(GOPLS):
+	GOBIN=$(BIN)/tools GOWORK=off GOFLAGS= go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(BIN)/tools/gopls $@
+
 clean:
 	rm -rf $(BIN)
 
