--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,7 +12,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 	"github.com/saffronpulley/saffronpulley/internal/gate"
 	"github.com/saffronpulley/saffronpulley/internal/interference"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/ledger"
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 	"github.com/saffronpulley/saffronpulley/internal/remedy"
@@ -49,7 +49,7 @@
 	Control  net.Listener
 	Address  string
 	Timing   Timing
-	Lead     lead.Timing
+	Lead     leader.Timing
 	Store    store.Store
 	VMs      vmlist.List
 	Worker   worker.Worker
@@ -83,7 +83,7 @@
 	evict    bool
 	remedies remedy.State
 	model    *interference.Model
-	lead     *lead.Lead
+	lead     *leader.Leader
 	sent     sentState
 	leading  sync.WaitGroup
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/control"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 	"github.com/saffronpulley/saffronpulley/internal/resource"
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
@@ -112,7 +112,7 @@
 // A lead that waited for a slow store once answered an entry from a document that it did not have, and died of it.
 func TestLeadThatHasNotTakenOverAnswersNothing(t *testing.T) {
 	a, _ := adopted(t)
-	a.lead = lead.New(lead.Config{Cell: "h-0"})
+	a.lead = leader.New(leader.Config{Cell: "h-0"})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.Serve(listener, "secret", a.mux, rpc.ProcessLimits())
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/cell"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/resource"
 	"github.com/saffronpulley/saffronpulley/internal/store"
 	"github.com/saffronpulley/saffronpulley/internal/task"
@@ -107,9 +107,9 @@
 
 // Stop checks that nobody wants the run any more, by the document as it is.
 func (f *fakeWorker) Stop(_ context.Context, r task.Run) error {
-	d, err := cell.Decode(f.world.store.records[lead.DocumentKey("h-0")].Value())
+	d, err := cell.Decode(f.world.store.records[leader.DocumentKey("h-0")].Value())
 	f.world.must(err)
-	for _, t := range d.Placed(f.instance) {
+	for _, t := range d.PlacedOn(f.instance) {
 		if t.Run() == r && !f.world.scaled {
 			f.world.t.Fatalf("run %v is stopped on %s, where it is wanted", r, f.instance)
 		}
--- a/internal/agent/measure.go
+++ b/internal/agent/measure.go
@@ -79,15 +79,15 @@
 		band := interference.BandOf(m.Load())
 		bands[m.Service()] = band
 		slowdown := a.model.Observe(m.Service(), band, given, m.Run(), m.Samples(), now)
-		in.Ratio, in.Slowdown = max(in.Ratio, m.Ratio()), max(in.Slowdown, slowdown)
+		in.LatencyRatio, in.Slowdown = max(in.LatencyRatio, m.Ratio()), max(in.Slowdown, slowdown)
 		a.latency[m.Service()] = latencyWire(m, given)
 	}
 	in.Loads = a.loads(bands, now)
-	pressed := a.remedies.IsPressed()
+	pressed := a.remedies.BlocksBatch()
 	if remedy.DefaultPolicy().Step(&a.remedies, in) {
 		a.evict = true
 	}
-	return a.evict || pressed != a.remedies.IsPressed()
+	return a.evict || pressed != a.remedies.BlocksBatch()
 }
 
 func latencyWire(m gate.Measurement, neighbors []interference.Neighbor) control.Latency {
@@ -118,7 +118,7 @@
 	a.batch(func(_ task.Run, r *run) {
 		share := float64(r.status.Size().Processors()) / float64(max(a.description.Capacity().Processors(), 1))
 		if throttled {
-			share *= float64(a.remedies.Throttle(r.status.Workload())) / remedy.Full
+			share *= float64(a.remedies.Throttle(r.status.Workload())) / remedy.Unthrottled
 		}
 		shares[r.status.Workload()] += share
 	})
@@ -135,7 +135,7 @@
 	for _, n := range a.shares(false) {
 		harm := 0.0
 		for service, band := range bands {
-			harm = max(harm, a.model.Mean(service, n.Workload(), band, now)*n.Share())
+			harm = max(harm, a.model.MeanSlowdown(service, n.Workload(), band, now)*n.Share())
 		}
 		loads = append(loads, remedy.NewLoad(n.Workload(), harm, a.weights[n.Workload()]))
 	}
@@ -154,7 +154,7 @@
 	a.mu.Lock()
 	percent := a.remedies.Throttle(r.status.Workload())
 	a.mu.Unlock()
-	if percent != remedy.Full && !r.desired.Service {
+	if percent != remedy.Unthrottled && !r.desired.Service {
 		a.throttle(ctx, r.status.Run(), percent)
 	}
 }
--- a/internal/agent/protocol_steps_test.go
+++ b/internal/agent/protocol_steps_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/control"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/store"
 	"github.com/saffronpulley/saffronpulley/internal/table"
 	"github.com/saffronpulley/saffronpulley/internal/task"
@@ -84,7 +84,7 @@
 // scale edits the replicas of the service.
 func (w *world) scale() {
 	w.scaled = true
-	record := w.store.records[lead.TableKey]
+	record := w.store.records[leader.TableKey]
 	current, err := table.Decode(record.Value())
 	w.must(err)
 	text := strings.Replace(protocolTable, "100,2,100", fmt.Sprintf("100,%d,100", rapid.IntRange(1, 2).Draw(w.t, "replicas")), 1)
@@ -102,11 +102,11 @@
 	w.must(err)
 	value, err := table.Encode(applied)
 	w.must(err)
-	w.store.records[lead.TableKey] = store.NewRecord(store.Version(applied.Version()), value)
+	w.store.records[leader.TableKey] = store.NewRecord(store.Version(applied.Version()), value)
 }
 
 // submit hands a job to a lead, whose commit comes with a later step or is made here.
-func (w *world) submit(l *lead.Lead) {
+func (w *world) submit(l *leader.Leader) {
 	if len(w.jobs) >= 4 {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (w *world) cancel(l *lead.Lead) {
+func (w *world) cancel(l *leader.Leader) {
 	if len(w.jobs) == 0 || rapid.IntRange(0, 3).Draw(w.t, "cancel") > 0 {
 		return
 	}
--- a/internal/agent/protocol_test.go
+++ b/internal/agent/protocol_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/saffronpulley/saffronpulley/internal/control"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 	"github.com/saffronpulley/saffronpulley/internal/proptest"
 	"github.com/saffronpulley/saffronpulley/internal/resource"
@@ -36,7 +36,7 @@
 	t        *rapid.T
 	ctx      context.Context
 	store    *fakeStore
-	leads    []*lead.Lead
+	leads    []*leader.Leader
 	agents   []*Agent
 	workers  []*fakeWorker
 	late     []lateMessage
@@ -118,11 +118,11 @@
 
 func (w *world) takeOver() {
 	clock := timeline.NewClock(time.Now)
-	l := lead.New(lead.Config{
+	l := leader.New(leader.Config{
 		Cell: "h-0", Agent: fmt.Sprint("lead-", len(w.leads)), Store: w.store, Logger: logging.Discard(),
 		Recorder: timeline.NewRecorder(clock, "x", 1),
 		Address:  fmt.Sprint("address-", len(w.leads)),
-		Timing:   lead.Timing{Lease: leaseTime, Heartbeat: time.Second, CommitRate: 1 << 20},
+		Timing:   leader.Timing{Lease: leaseTime, Heartbeat: time.Second, CommitRate: 1 << 20},
 	})
 	// The leases of the leads before have lapsed by then, though they may not have noticed.
 	time.Sleep(leaseTime + time.Millisecond)
@@ -135,7 +135,7 @@
 	w.list(l)
 }
 
-func (w *world) list(l *lead.Lead) {
+func (w *world) list(l *leader.Leader) {
 	var vms []vmlist.VM
 	for _, f := range w.workers {
 		state := vmlist.Live
@@ -144,17 +144,17 @@
 		}
 		vms = append(vms, vmlist.NewVM(f.instance, "h", 1, state))
 	}
-	l.TakeList(vms)
+	l.UpdateVMs(vms)
 }
 
 // beat sends a heartbeat; its answer arrives now, late, or never.
-func (w *world) beat(agent int, l *lead.Lead, fate int) {
+func (w *world) beat(agent int, l *leader.Leader, fate int) {
 	a := w.agents[agent]
 	if w.workers[agent].dead {
 		return
 	}
 	message, sent := a.compose(true)
-	answer, err := l.Beat(w.ctx, &rpc.Peer{}, message)
+	answer, err := l.Heartbeat(w.ctx, &rpc.Peer{}, message)
 	if err != nil || fate == 0 || !answer.Known {
 		return
 	}
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -7,7 +7,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/control"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 	"github.com/saffronpulley/saffronpulley/internal/gate"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 	"github.com/saffronpulley/saffronpulley/internal/task"
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
@@ -123,7 +123,7 @@
 	}
 	r.end(state, checkpoint, now)
 	a.ledger.End(r.status.Run())
-	a.record(lead.EndKind(state), r.status.Run(), "the run has ended: "+state.String())
+	a.record(leader.EndKind(state), r.status.Run(), "the run has ended: "+state.String())
 	a.beatSoon()
 }
 
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -5,7 +5,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/control"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
@@ -15,20 +15,20 @@
 	m := rpc.NewMux(a.Clock)
 	rpc.Handle(m, control.MethodDesired, a.takeDesired)
 	rpc.Handle(m, control.MethodAgentTimeline, a.events)
-	asLead(a, m, control.MethodBeat, (*lead.Lead).Beat)
-	asLead(a, m, control.MethodSubscribe, (*lead.Lead).Subscribe)
-	asLead(a, m, control.MethodSubmit, (*lead.Lead).Submit)
-	asLead(a, m, control.MethodJob, (*lead.Lead).Job)
-	asLead(a, m, control.MethodCancel, (*lead.Lead).Cancel)
-	asLead(a, m, control.MethodStatus, (*lead.Lead).Status)
-	asLead(a, m, control.MethodExplain, (*lead.Lead).Explain)
-	asLead(a, m, control.MethodTimeline, (*lead.Lead).Timeline)
+	asLead(a, m, control.MethodBeat, (*leader.Leader).Heartbeat)
+	asLead(a, m, control.MethodSubscribe, (*leader.Leader).Subscribe)
+	asLead(a, m, control.MethodSubmit, (*leader.Leader).Submit)
+	asLead(a, m, control.MethodJob, (*leader.Leader).Job)
+	asLead(a, m, control.MethodCancel, (*leader.Leader).Cancel)
+	asLead(a, m, control.MethodStatus, (*leader.Leader).Status)
+	asLead(a, m, control.MethodExplain, (*leader.Leader).Explain)
+	asLead(a, m, control.MethodTimeline, (*leader.Leader).Timeline)
 	return m
 }
 
 // asLead registers a method that only a lead serves.
 func asLead[Req, Res any](a *Agent, m *rpc.Mux, method string,
-	handle func(*lead.Lead, context.Context, *rpc.Peer, Req) (Res, error),
+	handle func(*leader.Leader, context.Context, *rpc.Peer, Req) (Res, error),
 ) {
 	rpc.Handle(m, method, func(ctx context.Context, p *rpc.Peer, request Req) (Res, error) {
 		a.mu.Lock()
--- a/internal/agent/uplink.go
+++ b/internal/agent/uplink.go
@@ -9,7 +9,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/control"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 	"github.com/saffronpulley/saffronpulley/internal/store"
 	"github.com/saffronpulley/saffronpulley/internal/task"
@@ -51,7 +51,7 @@
 // findLead connects to the holder of the cell's lease and returns its address too; where nobody holds it, the agent
 // tries to.
 func (a *Agent) findLead(ctx context.Context) (*rpc.Peer, string, error) {
-	name := lead.LeaseName(a.cell())
+	name := leader.LeaseName(a.cell())
 	held, err := a.Store.Holder(ctx, name)
 	if err != nil {
 		return nil, "", err
@@ -93,11 +93,11 @@
 		return fault.New(fault.Unavailable, "this agent does not stand for lead")
 	}
 	asked := time.Now()
-	lease, err := a.Store.Acquire(ctx, lead.LeaseName(a.cell()), a.Address, a.Lead.Lease)
+	lease, err := a.Store.Acquire(ctx, leader.LeaseName(a.cell()), a.Address, a.Lead.Lease)
 	if err != nil {
 		return err
 	}
-	l := lead.New(lead.Config{
+	l := leader.New(leader.Config{
 		Cell: a.cell(), Agent: a.ID, Address: a.Address, Timing: a.Lead, Store: a.Store, VMs: a.VMs,
 		Logger: a.Logger.Part("lead"), Recorder: a.Recorder,
 	})
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func (a *Agent) runLead(ctx context.Context, l *lead.Lead, lease store.Lease, asked time.Time) {
+func (a *Agent) runLead(ctx context.Context, l *leader.Leader, lease store.Lease, asked time.Time) {
 	err := l.Run(ctx, lease, asked)
 	a.Logger.Info("no longer the lead: %v", err)
 	a.mu.Lock()
@@ -117,7 +117,7 @@
 	// The end of a lead that knows it is one frees the lease for the next.
 	release, cancel := context.WithTimeout(context.WithoutCancel(ctx), beatTimeout)
 	defer cancel()
-	if err := a.Store.Release(release, lead.LeaseName(a.cell()), l.Address); err != nil {
+	if err := a.Store.Release(release, leader.LeaseName(a.cell()), l.Address); err != nil {
 		a.Logger.Debug("cannot release the lease: %v", err)
 	}
 }
@@ -175,7 +175,7 @@
 	if err := a.takeAnswer(ctx, peer, answer, sent); err != nil || !answer.Lapsed {
 		return true, err
 	}
-	return true, lead.Superseded(ctx, a.Store, a.cell(), address)
+	return true, leader.CheckSuperseded(ctx, a.Store, a.cell(), address)
 }
 
 // takeAnswer acts on the answer to a beat, unless it is of a lead of the past, which may know less than the next.
@@ -203,7 +203,7 @@
 	defer a.mu.Unlock()
 	message := control.Beat{
 		Instance: a.description.Instance(), Boot: a.Boot, Have: a.desired.Position, Applied: a.applied,
-		Stopping: a.stopping, Pressed: a.remedies.IsPressed(), Evict: a.evict,
+		Stopping: a.stopping, Pressed: a.remedies.BlocksBatch(), Evict: a.evict,
 	}
 	if introduce {
 		message.Profile = a.profile()
--- a/internal/catalog/endpoint.go
+++ b/internal/catalog/endpoint.go
@@ -75,7 +75,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	endpointProbation.Try(&e.health)
+	endpointProbation.StartTrial(&e.health)
 	e.refresh(time.Now())
 }
 
@@ -106,7 +106,7 @@
 func (e *Endpoint) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	endpointProbation.Drop(&e.health)
+	endpointProbation.CancelTrial(&e.health)
 	e.leavingUntil = time.Now().Add(leavingFor)
 	e.refresh(time.Now())
 }
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -6,7 +6,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/control"
 	"github.com/saffronpulley/saffronpulley/internal/fault"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 	"github.com/saffronpulley/saffronpulley/internal/store"
@@ -106,7 +106,7 @@
 
 // subscribe follows one lead until it is none any more.
 func (f *Follower) subscribe(ctx context.Context, cell string) error {
-	held, err := f.Store.Holder(ctx, lead.LeaseName(cell))
+	held, err := f.Store.Holder(ctx, leader.LeaseName(cell))
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 	f.Catalog.TakeLoad(cell, answer.Load)
 	f.Catalog.SetPeer(cell, peer)
 	if answer.Lapsed {
-		return lead.Superseded(ctx, f.Store, cell, address)
+		return leader.CheckSuperseded(ctx, f.Store, cell, address)
 	}
 	return nil
 }
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -110,7 +110,7 @@
 	again, err := Encode(back)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, value, again)
-	assert.Equal(t, back.Placed("vm-3")[0], d.Placed("vm-3")[0])
+	assert.Equal(t, back.PlacedOn("vm-3")[0], d.PlacedOn("vm-3")[0])
 }
 
 func FuzzDecode(f *testing.F) {
@@ -119,7 +119,7 @@
 	_, _ = d.Assign(task.NewID("job", 0), "vm-1", size)
 	value, _ := Encode(d)
 	f.Add(value)
-	d.Lose("vm-1")
+	d.LoseInstance("vm-1")
 	value, _ = Encode(d)
 	f.Add(value)
 	f.Add([]byte{0x87, 0, 0x60, 0, 0x80, 0x80, 0x80, 0x80})
--- a/internal/cell/change.go
+++ b/internal/cell/change.go
@@ -168,28 +168,28 @@
 	return false
 }
 
-// Loss is a run that was lost with its VM.
-type Loss struct {
+// LostRun is a run that was lost with its VM.
+type LostRun struct {
 	run     task.Run
 	givenUp bool
 }
 
 // Run returns the run.
-func (l Loss) Run() task.Run { return l.run }
+func (l LostRun) Run() task.Run { return l.run }
 
 // GivenUp reports whether the task does not start again.
-func (l Loss) GivenUp() bool { return l.givenUp }
+func (l LostRun) GivenUp() bool { return l.givenUp }
 
-// Lose takes note that a VM instance is gone for good: what it ran waits again, from the last checkpoint. A batch task of which run after
+// LoseInstance takes note that a VM instance is gone for good: what it ran waits again, from the last checkpoint. A batch task of which run after
 // run is lost so is given up, or it would take along one VM after the other for ever.
-func (d *Document) Lose(instance string) []Loss {
-	var lost []Loss
+func (d *Document) LoseInstance(instance string) []LostRun {
+	var lost []LostRun
 	for _, t := range d.Tasks() {
 		if t.instance != instance {
 			continue
 		}
 		d.Report(NewReport(t.Run(), task.Stopped, ""), 0)
-		lost = append(lost, Loss{run: t.Run(), givenUp: d.countLoss(t.id)})
+		lost = append(lost, LostRun{run: t.Run(), givenUp: d.countLoss(t.id)})
 	}
 	return lost
 }
@@ -200,9 +200,9 @@
 	if !ok || t.service {
 		return false
 	}
-	t.losses = t.losses.Lost(crash.UntoldLoss())
+	t.losses = t.losses.Add(crash.UnreportedLoss())
 	j, ok := d.jobs[id.Job()]
-	if !ok || !t.losses.Spent() {
+	if !ok || !t.losses.Exhausted() {
 		return false
 	}
 	j.failed++
--- a/internal/cell/codec.go
+++ b/internal/cell/codec.go
@@ -91,7 +91,7 @@
 func (d *Document) encode() ([]byte, error) {
 	if d.hasLosses() {
 		return cbor.Marshal(wireOf(d, func(t Task, table *names) taskWire {
-			return taskWire{Task: encodeTask(t, table), Losses: t.losses.All()}
+			return taskWire{Task: encodeTask(t, table), Losses: t.losses.Total()}
 		}))
 	}
 	return cbor.Marshal(wireOf(d, encodeTask))
@@ -99,7 +99,7 @@
 
 func (d *Document) hasLosses() bool {
 	for _, t := range d.tasks {
-		if t.losses.All() > 0 {
+		if t.losses.Total() > 0 {
 			return true
 		}
 	}
--- a/internal/cell/document.go
+++ b/internal/cell/document.go
@@ -47,8 +47,8 @@
 // Epoch returns the number of takeovers so far.
 func (d *Document) Epoch() uint64 { return d.epoch }
 
-// Lead returns the agent that took over last.
-func (d *Document) Lead() string { return d.lead }
+// Leader returns the agent that took over last.
+func (d *Document) Leader() string { return d.lead }
 
 // Job returns a job, also one that ended not long ago.
 func (d *Document) Job(id string) (Job, bool) {
@@ -72,8 +72,8 @@
 	return jobs
 }
 
-// Ended returns the ended jobs that are remembered, oldest first.
-func (d *Document) Ended() []Job { return d.ended }
+// EndedJobs returns the ended jobs that are remembered, oldest first.
+func (d *Document) EndedJobs() []Job { return d.ended }
 
 // Task returns a task that was placed or is a replica.
 func (d *Document) Task(id task.ID) (Task, bool) {
@@ -99,8 +99,8 @@
 	return tasks
 }
 
-// Placed returns the tasks that a VM instance is to run, ordered by name.
-func (d *Document) Placed(instance string) []Task {
+// PlacedOn returns the tasks that a VM instance is to run, ordered by name.
+func (d *Document) PlacedOn(instance string) []Task {
 	var placed []Task
 	for _, t := range d.Tasks() {
 		if t.instance == instance && !d.isUnwanted(t) {
--- a/internal/cell/losses_test.go
+++ b/internal/cell/losses_test.go
@@ -23,7 +23,7 @@
 		if _, err := d.Assign(id, vm, size); err != nil {
 			return d, n
 		}
-		assert.Equal(t, len(d.Lose(vm)), 1)
+		assert.Equal(t, len(d.LoseInstance(vm)), 1)
 		value, err := Encode(d)
 		assert.NilError(t, err)
 		d, err = Decode(value)
@@ -55,7 +55,7 @@
 // TestTaskThatGotOnMayLoseItsVMsAnew: it was evicted with its progress from a VM that outlived it.
 func TestTaskThatGotOnMayLoseItsVMsAnew(t *testing.T) {
 	d, r := placed(t)
-	d.Lose("vm-1")
+	d.LoseInstance("vm-1")
 	d, runs := loseRuns(t, d, r.ID(), mostRuns-2)
 	assert.Equal(t, runs, mostRuns-2)
 	again, err := d.Assign(r.ID(), "vm-2", size)
--- a/internal/crash/judge.go
+++ b/internal/crash/attribution.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Blame is what a crash says of one of the runs that the worker had.
-type Blame int
+// Attribution is what a crash says of one of the runs that the worker had.
+type Attribution int
 
-//go:generate stringer -type=Blame -linecomment -output=blame_string.go
+//go:generate stringer -type=Attribution -linecomment -output=attribution_string.go
 
 // What a crash says of a run.
 const (
-	Cleared  Blame = iota // cleared
-	Possible              // possible
-	Likely                // likely
+	NotCause      Attribution = iota // cleared
+	PossibleCause                    // possible
+	LikelyCause                      // likely
 )
 
 // Finding is what one crash says of one run.
 type Finding struct {
-	blame Blame
+	blame Attribution
 	// alone says that nothing else explains the crash.
 	alone bool
 }
 
 // NewFinding returns a finding.
-func NewFinding(blame Blame, alone bool) Finding { return Finding{blame: blame, alone: alone} }
+func NewFinding(blame Attribution, alone bool) Finding { return Finding{blame: blame, alone: alone} }
 
-// Blame returns whether the run is a cause.
-func (f Finding) Blame() Blame { return f.blame }
+// Attribution returns whether the run is a cause.
+func (f Finding) Attribution() Attribution { return f.blame }
 
-// Alone reports whether nothing else explains the crash.
-func (f Finding) Alone() bool { return f.alone }
+// Sole reports whether nothing else explains the crash.
+func (f Finding) Sole() bool { return f.alone }
 
 // Run is a run that a life of a worker had, or may have had, when it crashed.
 type Run struct {
 	// answered says that the worker surely had the run, age for how long it was seen to have it.
 	answered bool
 	age      time.Duration
-	before   Suspicion
+	before   History
 }
 
 // NewRun returns a run with what was held against its task before.
-func NewRun(answered bool, age time.Duration, before Suspicion) Run {
+func NewRun(answered bool, age time.Duration, before History) Run {
 	return Run{answered: answered, age: age, before: before}
 }
 
 // fresh reports whether the worker crashed soon after the run began.
-func (r Run) fresh() bool { return r.answered && r.age < Soon }
+func (r Run) fresh() bool { return r.answered && r.age < StartupTime }
 
-// Judge returns what one crash says of each run, in their order.
+// Attribute returns what one crash says of each run, in their order.
 //
 // Work that crashes its worker does so as it starts, so runs that have just begun explain a crash, and of these the ones that
 // are suspected most; what has run for a while beside them is cleared. Other runs that have just begun, and starts that got no
@@ -55,13 +55,13 @@
 //
 // Workers that crash together, at one moment, have a cause in common, which is likely none of the runs: then what had just begun is
 // a possible cause at the most.
-func Judge(runs []Run, together bool) []Finding {
+func Attribute(runs []Run, together bool) []Finding {
 	fresh, unanswered, worst := 0, 0, 0
 	for _, r := range runs {
 		switch {
 		case r.fresh():
 			fresh++
-			worst = max(worst, r.before.Weight())
+			worst = max(worst, r.before.Score())
 		case !r.answered:
 			unanswered++
 		}
@@ -72,12 +72,12 @@
 	for i, r := range runs {
 		switch {
 		case together && (r.fresh() || !r.answered):
-			findings[i] = Finding{blame: Possible}
+			findings[i] = Finding{blame: PossibleCause}
 		case together:
-		case r.fresh() && r.before.Weight() == worst:
-			findings[i] = Finding{blame: Likely, alone: alone}
+		case r.fresh() && r.before.Score() == worst:
+			findings[i] = Finding{blame: LikelyCause, alone: alone}
 		case r.fresh(), !r.answered, !explained:
-			findings[i] = Finding{blame: Possible, alone: alone}
+			findings[i] = Finding{blame: PossibleCause, alone: alone}
 		}
 	}
 	return findings
--- a/internal/crash/judge_test.go
+++ b/internal/crash/attribution_test.go
@@ -37,11 +37,11 @@
 		assert.NilError(t, err, line)
 		doubts, err := strconv.Atoi(words[3])
 		assert.NilError(t, err, line)
-		runs = append(runs, NewRun(words[0] == "answered", age, NewSuspicion(crashes, doubts)))
+		runs = append(runs, NewRun(words[0] == "answered", age, NewHistory(crashes, doubts)))
 	}
-	for i, f := range Judge(runs, together) {
-		got := f.Blame().String()
-		if f.Alone() {
+	for i, f := range Attribute(runs, together) {
+		got := f.Attribution().String()
+		if f.Sole() {
 			got += " alone"
 		}
 		if runs[i].before.After(f).GivesUp(f) {
@@ -56,8 +56,8 @@
 func TestEachCrashIsHeldAgainstSomeRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		held := false
-		for _, f := range Judge(drawRuns(t), false) {
-			held = held || f.Blame() != Cleared
+		for _, f := range Attribute(drawRuns(t), false) {
+			held = held || f.Attribution() != NotCause
 		}
 		if !held {
 			t.Fatal("nobody is held responsible")
@@ -69,15 +69,15 @@
 // to crash its worker, and whatever had just begun beside it before it was suspected.
 func TestWorkThatCrashesItsWorkersIsGivenUpInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var held Suspicion
-		age := time.Duration(rapid.IntRange(0, int((Long-1)/time.Millisecond)).Draw(t, "ms")) * time.Millisecond
+		var held History
+		age := time.Duration(rapid.IntRange(0, int((StableAge-1)/time.Millisecond)).Draw(t, "ms")) * time.Millisecond
 		for range 4 {
-			held = held.Outlived(age)
+			held = held.Survived(age)
 			runs := []Run{NewRun(rapid.Bool().Draw(t, "answered"), age, held)}
-			if age < Soon && !held.Suspect() {
-				runs = append(runs, NewRun(true, 0, Suspicion{}), NewRun(false, 0, Suspicion{}), NewRun(true, Long, Suspicion{}))
+			if age < StartupTime && !held.Suspect() {
+				runs = append(runs, NewRun(true, 0, History{}), NewRun(false, 0, History{}), NewRun(true, StableAge, History{}))
 			}
-			f := Judge(runs, age < Soon && rapid.Bool().Draw(t, "together"))[0]
+			f := Attribute(runs, age < StartupTime && rapid.Bool().Draw(t, "together"))[0]
 			if held = held.After(f); held.GivesUp(f) {
 				return
 			}
@@ -90,7 +90,7 @@
 	runs := make([]Run, rapid.IntRange(1, 5).Draw(t, "runs"))
 	for i := range runs {
 		age := time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
-		before := NewSuspicion(rapid.IntRange(0, 2).Draw(t, "crashes"), rapid.IntRange(0, 2).Draw(t, "doubts"))
+		before := NewHistory(rapid.IntRange(0, 2).Draw(t, "crashes"), rapid.IntRange(0, 2).Draw(t, "doubts"))
 		runs[i] = NewRun(rapid.Bool().Draw(t, "answered"), age, before)
 	}
 	return runs
@@ -98,10 +98,10 @@
 
 // TestSuspicionIsDroppedByWhatARunOutlives: a start for the likely cause, a long life for all.
 func TestSuspicionIsDroppedByWhatARunOutlives(t *testing.T) {
-	held := NewSuspicion(1, 1)
-	assert.Equal(t, held.Outlived(Soon-1), held)
-	assert.Equal(t, held.Outlived(Soon), NewSuspicion(0, 1))
-	assert.Equal(t, held.Outlived(Long), Suspicion{})
-	assert.Assert(t, !NewSuspicion(0, 1).Suspect())
-	assert.Assert(t, NewSuspicion(0, 2).Suspect())
+	held := NewHistory(1, 1)
+	assert.Equal(t, held.Survived(StartupTime-1), held)
+	assert.Equal(t, held.Survived(StartupTime), NewHistory(0, 1))
+	assert.Equal(t, held.Survived(StableAge), History{})
+	assert.Assert(t, !NewHistory(0, 1).Suspect())
+	assert.Assert(t, NewHistory(0, 2).Suspect())
 }
--- a/internal/crash/losses.go
+++ b/internal/crash/losses.go
@@ -23,20 +23,20 @@
 	lived              time.Duration
 }
 
-// ToldLoss returns the loss of a run that lived for a time, as the agent beside its worker tells; a shared one struck many workers
+// ReportedLoss returns the loss of a run that lived for a time, as the agent beside its worker tells; a shared one struck many workers
 // at one moment.
-func ToldLoss(lived time.Duration, shared bool) Loss {
+func ReportedLoss(lived time.Duration, shared bool) Loss {
 	return Loss{over: true, told: true, shared: shared, lived: lived}
 }
 
-// UntoldLoss returns the loss of a run with a life of a worker that is surely over, though nobody tells of it.
-func UntoldLoss() Loss { return Loss{over: true} }
+// UnreportedLoss returns the loss of a run with a life of a worker that is surely over, though nobody tells of it.
+func UnreportedLoss() Loss { return Loss{over: true} }
 
-// UnseenLoss returns the loss of a run with a worker that was lost sight of; it may have crashed or may run on.
-func UnseenLoss() Loss { return Loss{} }
+// UnreachableLoss returns the loss of a run with a worker that was lost sight of; it may have crashed or may run on.
+func UnreachableLoss() Loss { return Loss{} }
 
-// Over reports whether the worker surely crashed.
-func (l Loss) Over() bool { return l.over }
+// Crashed reports whether the worker surely crashed.
+func (l Loss) Crashed() bool { return l.over }
 
 // Losses are the runs of a task that were lost with their workers on end. They need no witness: whoever is held responsible, if
 // anybody tells at all, a task is not started for ever where none of its runs is done or lives for long.
@@ -53,23 +53,23 @@
 	return Losses{all: all, over: over, alike: alike, blind: blind, longest: longest}
 }
 
-// All returns how many runs were lost.
-func (l Losses) All() int { return l.all }
+// Total returns how many runs were lost.
+func (l Losses) Total() int { return l.all }
 
-// Over returns with how many of them a worker surely crashed.
-func (l Losses) Over() int { return l.over }
+// Crashed returns with how many of them a worker surely crashed.
+func (l Losses) Crashed() int { return l.over }
 
-// Alike returns how many lived about as long as the longest.
-func (l Losses) Alike() int { return l.alike }
+// Similar returns how many lived about as long as the longest.
+func (l Losses) Similar() int { return l.alike }
 
-// Blind returns of how many it is not known how long they lived.
-func (l Losses) Blind() int { return l.blind }
+// UnknownLifetime returns of how many it is not known how long they lived.
+func (l Losses) UnknownLifetime() int { return l.blind }
 
-// Longest returns how long the longest of the others lived.
-func (l Losses) Longest() time.Duration { return l.longest }
+// LongestLifetime returns how long the longest of the others lived.
+func (l Losses) LongestLifetime() time.Duration { return l.longest }
 
-// Lost returns the losses after one more.
-func (l Losses) Lost(one Loss) Losses {
+// Add returns the losses after one more.
+func (l Losses) Add(one Loss) Losses {
 	l.all++
 	if one.over {
 		l.over++
@@ -78,7 +78,7 @@
 		l.blind++
 		return l
 	}
-	lived, longest := max(one.lived, Soon), max(l.longest, Soon)
+	lived, longest := max(one.lived, StartupTime), max(l.longest, StartupTime)
 	switch {
 	case one.shared, lived*clearlyLonger < longest:
 	case lived > clearlyLonger*longest:
@@ -90,8 +90,8 @@
 	return l
 }
 
-// Settled returns the losses once it is known whether a worker that was lost sight of has crashed.
-func (l Losses) Settled(crashed bool) Losses {
+// Resolve returns the losses once it is known whether a worker that was lost sight of has crashed.
+func (l Losses) Resolve(crashed bool) Losses {
 	if crashed {
 		l.over++
 		return l
@@ -100,8 +100,8 @@
 	return l
 }
 
-// Spent reports whether the task is not to be started any more.
-func (l Losses) Spent() bool {
+// Exhausted reports whether the task is not to be started any more.
+func (l Losses) Exhausted() bool {
 	return l.over >= leastOver && l.alike+l.blind >= mostAlike || l.all >= mostLost
 }
 
@@ -110,5 +110,5 @@
 	if l.blind > 0 {
 		return longEnough
 	}
-	return min(max(Long, clearlyLonger*l.longest), longEnough)
+	return min(max(StableAge, clearlyLonger*l.longest), longEnough)
 }
--- a/internal/crash/losses_test.go
+++ b/internal/crash/losses_test.go
@@ -22,8 +22,8 @@
 			for n, line := range strings.Split(strings.TrimSpace(string(f.Data)), "\n") {
 				what, expected, _ := strings.Cut(line, " -> ")
 				l = afterLine(t, l, strings.Fields(what))
-				got := fmt.Sprintf("all=%d over=%d alike=%d blind=%d", l.All(), l.Over(), l.Alike(), l.Blind())
-				if l.Spent() {
+				got := fmt.Sprintf("all=%d over=%d alike=%d blind=%d", l.Total(), l.Crashed(), l.Similar(), l.UnknownLifetime())
+				if l.Exhausted() {
 					got += " spent"
 				}
 				assert.Equal(t, got, expected, "line %d", n+1)
@@ -36,15 +36,15 @@
 	t.Helper()
 	switch words[0] {
 	case "untold":
-		return l.Lost(UntoldLoss())
+		return l.Add(UnreportedLoss())
 	case "unseen":
-		return l.Lost(UnseenLoss())
+		return l.Add(UnreachableLoss())
 	case "crashed", "spared":
-		return l.Settled(words[0] == "crashed")
+		return l.Resolve(words[0] == "crashed")
 	}
 	age, err := time.ParseDuration(words[1])
 	assert.NilError(t, err)
-	return l.Lost(ToldLoss(age, words[0] == "shared"))
+	return l.Add(ReportedLoss(age, words[0] == "shared"))
 }
 
 // TestWorkThatTakesAsLongToCrashEachWorkerStartsFiveTimesAtTheMost, whichever of its crashes are told, and although each of its runs is
@@ -52,17 +52,17 @@
 func TestWorkThatTakesAsLongToCrashEachWorkerStartsFiveTimesAtTheMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		usual := time.Duration(rapid.IntRange(0, int(longEnough/time.Millisecond/2)).Draw(t, "ms")) * time.Millisecond
-		var held Suspicion
+		var held History
 		for range mostAlike {
 			age := usual * time.Duration(rapid.IntRange(75, 125).Draw(t, "percent")) / 100
-			held = held.Outlived(age)
-			loss := ToldLoss(age, false)
+			held = held.Survived(age)
+			loss := ReportedLoss(age, false)
 			if rapid.Bool().Draw(t, "untold") {
-				loss = UntoldLoss()
+				loss = UnreportedLoss()
 			}
-			held = held.With(held.Losses().Lost(loss))
+			held = held.WithLosses(held.Losses().Add(loss))
 		}
-		if !held.Losses().Spent() {
+		if !held.Losses().Exhausted() {
 			t.Fatalf("started more than %d times: %+v", mostAlike, held)
 		}
 	})
@@ -70,12 +70,12 @@
 
 // TestLossesAreForgivenOnceARunLivesForClearlyLonger, or for long enough.
 func TestLossesAreForgivenOnceARunLivesForClearlyLonger(t *testing.T) {
-	told := func(age time.Duration) Suspicion { return Suspicion{}.With(Losses{}.Lost(ToldLoss(age, false))) }
-	assert.Equal(t, told(0).Outlived(Long), Suspicion{})
-	assert.Equal(t, told(4*time.Second).Outlived(8*time.Second-1), told(4*time.Second))
-	assert.Equal(t, told(4*time.Second).Outlived(8*time.Second), Suspicion{})
-	assert.Equal(t, told(time.Hour).Outlived(longEnough), Suspicion{})
-	blind := Suspicion{}.With(Losses{}.Lost(UntoldLoss()))
-	assert.Equal(t, blind.Outlived(longEnough-1), blind, "how long it lived is not known")
-	assert.Equal(t, blind.Outlived(longEnough), Suspicion{})
+	told := func(age time.Duration) History { return History{}.WithLosses(Losses{}.Add(ReportedLoss(age, false))) }
+	assert.Equal(t, told(0).Survived(StableAge), History{})
+	assert.Equal(t, told(4*time.Second).Survived(8*time.Second-1), told(4*time.Second))
+	assert.Equal(t, told(4*time.Second).Survived(8*time.Second), History{})
+	assert.Equal(t, told(time.Hour).Survived(longEnough), History{})
+	blind := History{}.WithLosses(Losses{}.Add(UnreportedLoss()))
+	assert.Equal(t, blind.Survived(longEnough-1), blind, "how long it lived is not known")
+	assert.Equal(t, blind.Survived(longEnough), History{})
 }
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -7,7 +7,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/admin"
 	"github.com/saffronpulley/saffronpulley/internal/agent"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
@@ -32,8 +32,8 @@
 		Timing: agent.Timing{
 			Heartbeat: s.Heartbeat(), Reconcile: s.Reconcile(), TaskLease: s.TaskLease(), Drain: s.Drain(), Measure: s.Measure(),
 		},
-		Lead: lead.Timing{
-			Lease: s.Lease(), Heartbeat: s.Heartbeat(), Window: s.Window(), List: s.LeadList(), CommitRate: s.CommitRate(),
+		Lead: leader.Timing{
+			Lease: s.Lease(), Heartbeat: s.Heartbeat(), CommitWindow: s.Window(), List: s.LeadList(), CommitRate: s.CommitRate(),
 		},
 		Store: p.store, VMs: p.vms, Worker: worker.NewHTTP(s.Worker()),
 		Logger: p.logger.Part("agent"), Clock: p.clock, Recorder: p.recorder,
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -26,21 +26,21 @@
 }
 
 const (
-	// mostAsked is how many workers one call names at the most, by the platform's page.
-	mostAsked = 100
-	// advicePatience bounds one call, which takes a few milliseconds for each worker named.
-	advicePatience = 2 * time.Second
-	// adviceReserve is the part of a ticket's time that is left for the order to reach its worker: one over this.
-	adviceReserve = 3
-	// adviceRetry is how long a step is not asked about after a call that failed.
-	adviceRetry = 300 * time.Millisecond
+	// maxAdvisedWorkers is how many workers one call names at the most, by the platform's page.
+	maxAdvisedWorkers = 100
+	// adviceTimeout bounds one call, which takes a few milliseconds for each worker named.
+	adviceTimeout = 2 * time.Second
+	// ticketReserveDivisor is the part of a ticket's time that is left for the order to reach its worker: one over this.
+	ticketReserveDivisor = 3
+	// adviceRetryDelay is how long a step is not asked about after a call that failed.
+	adviceRetryDelay = 300 * time.Millisecond
 )
 
 // advice is what is known of one step.
 type advice struct {
-	tickets map[incarnation.ID]string
-	until   time.Time
-	asking  bool
+	tickets    map[incarnation.ID]string
+	validUntil time.Time
+	pending    bool
 }
 
 type stepID struct {
@@ -50,19 +50,19 @@
 }
 
 func (s stepID) String() string {
-	return job.TaskID{Job: s.job, Time: s.time, Step: s.step}.StepName()
+	return job.TaskID{Job: s.job, Iteration: s.time, Step: s.step}.StepName()
 }
 
 // ticketsFor returns the tickets of a group by the workers that may run it, and asks for them where they are not known.
 func (t *term) ticketsFor(id stepID, service string) map[job.Host]string {
-	known := t.advised[id]
+	known := t.advice[id]
 	if known == nil {
 		known = &advice{}
-		t.advised[id] = known
+		t.advice[id] = known
 	}
-	if !known.asking && time.Now().After(known.until) {
-		known.asking, known.tickets = true, nil
-		go t.askAdvice(id, t.incarnationsOf(service))
+	if !known.pending && time.Now().After(known.validUntil) {
+		known.pending, known.tickets = true, nil
+		go t.fetchAdvice(id, t.openIncarnations(service))
 	}
 	tickets := make(map[job.Host]string)
 	for _, h := range t.hosts.all() {
@@ -74,25 +74,25 @@
 	return tickets
 }
 
-func (t *term) incarnationsOf(service string) []incarnation.ID {
+func (t *term) openIncarnations(service string) []incarnation.ID {
 	var found []incarnation.ID
 	for _, h := range t.hosts.all() {
-		if h.worker.Open && h.worker.Service == service {
+		if h.worker.Schedulable && h.worker.Service == service {
 			found = append(found, h.worker.Host.Incarnation)
 		}
 	}
 	return found
 }
 
-// askAdvice asks about all workers, in as many calls as it takes; the service takes one at a time.
-func (t *term) askAdvice(id stepID, workers []incarnation.ID) {
-	t.asks.Lock()
-	defer t.asks.Unlock()
+// fetchAdvice asks about all workers, in as many calls as it takes; the service takes one at a time.
+func (t *term) fetchAdvice(id stepID, workers []incarnation.ID) {
+	t.adviceMu.Lock()
+	defer t.adviceMu.Unlock()
 	tickets := make(map[incarnation.ID]string)
-	valid := adviceRetry
-	for chunk := range slices.Chunk(workers, mostAsked) {
-		ctx, cancel := context.WithTimeout(context.Background(), advicePatience)
-		answer, err := t.d.config.Advisor.Advise(ctx, id.String(), idsOf(chunk))
+	valid := adviceRetryDelay
+	for chunk := range slices.Chunk(workers, maxAdvisedWorkers) {
+		ctx, cancel := context.WithTimeout(context.Background(), adviceTimeout)
+		answer, err := t.dispatcher.config.Advisor.Advise(ctx, id.String(), workerIDs(chunk))
 		cancel()
 		if err != nil {
 			t.logger.Warn("no advice; step=%s workers=%d reason=%v", id, len(chunk), err)
@@ -103,16 +103,16 @@
 				tickets[worker] = ticket
 			}
 		}
-		valid = max(adviceRetry, answer.Valid-answer.Valid/adviceReserve)
+		valid = max(adviceRetryDelay, answer.Valid-answer.Valid/ticketReserveDivisor)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.advised[id] = &advice{tickets: tickets, until: time.Now().Add(valid)}
+	t.advice[id] = &advice{tickets: tickets, validUntil: time.Now().Add(valid)}
 	t.wakeUp()
 }
 
-// idsOf returns the ids by which the service that advises knows workers.
-func idsOf(workers []incarnation.ID) []string {
+// workerIDs returns the ids by which the service that advises knows workers.
+func workerIDs(workers []incarnation.ID) []string {
 	ids := make([]string, 0, len(workers))
 	for _, w := range workers {
 		ids = append(ids, w.Worker())
@@ -120,12 +120,12 @@
 	return ids
 }
 
-// forgetAdvice drops what is known of a step, after a worker refused its ticket.
-func (t *term) forgetAdvice(id job.TaskID) { delete(t.advised, stepID{id.Job, id.Time, id.Step}) }
+// dropAdvice drops what is known of a step, after a worker refused its ticket.
+func (t *term) dropAdvice(id job.TaskID) { delete(t.advice, stepID{id.Job, id.Iteration, id.Step}) }
 
-// advise adds the tickets of an advised queue to a group.
-func (t *term) advise(g *plan.Group, queue job.Queue) {
-	if queue.Advised && t.d.config.Advisor != nil {
-		g.Tickets = t.ticketsFor(stepID{g.Job.ID(), g.Time, g.Number}, g.Service)
+// addTickets adds the tickets of an advised queue to a group.
+func (t *term) addTickets(g *plan.Group, queue job.Queue) {
+	if queue.Advised && t.dispatcher.config.Advisor != nil {
+		g.Tickets = t.ticketsFor(stepID{g.Job.ID(), g.Time, g.StepIndex}, g.Service)
 	}
 }
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -18,14 +18,14 @@
 
 // fakeAdvisor allows one worker and notes the calls.
 type fakeAdvisor struct {
-	good string
+	allowed string
 
 	mu    sync.Mutex
 	calls [][]string
 }
 
-// asked returns the calls so far.
-func (f *fakeAdvisor) asked() [][]string {
+// recordedCalls returns the calls so far.
+func (f *fakeAdvisor) recordedCalls() [][]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.calls)
@@ -37,48 +37,48 @@
 	f.mu.Unlock()
 	time.Sleep(5 * time.Millisecond)
 	tickets := Tickets{ByInstance: map[string]string{}, Valid: 3 * time.Second}
-	if slices.Contains(instances, f.good) {
-		tickets.ByInstance[f.good] = "ticket"
+	if slices.Contains(instances, f.allowed) {
+		tickets.ByInstance[f.allowed] = "ticket"
 	}
 	return tickets, nil
 }
 
-func TestAdvisedStepRunsOnlyWhereItMayAndBringsItsTicket(t *testing.T) {
+func TestAdvisedStepStartsOnlyOnWorkersWithTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		term := testTerm(t, kvtest.New())
-		advisor := &fakeAdvisor{good: "b1"}
-		term.d.config.Advisor = advisor
+		advisor := &fakeAdvisor{allowed: "b1"}
+		term.dispatcher.config.Advisor = advisor
 		known := term.jobs["00000000000000aa"]
 		known.job = job.New("00000000000000aa", *known.job.Spec(), job.Queue{Service: testService, Attempts: 1, Advised: true}, time.Now())
 		agents := map[string]*fakeAgent{"a": {vm: "a"}, "b": {vm: "b"}}
 		for _, vm := range []string{"a", "b"} {
-			r := reportOf(vm + "1")
+			r := testReport(vm + "1")
 			r.VM = vm
-			_, err := term.report(mailbox{agents[vm]}, r)
+			_, err := term.report(fakeSession{agents[vm]}, r)
 			assert.NilError(t, err)
 		}
 		assert.NilError(t, cycle(ctx, term))
-		assert.Equal(t, len(agents["a"].mail)+len(agents["b"].mail), 0, "nothing is placed before the advice is there")
+		assert.Equal(t, len(agents["a"].pendingOrders)+len(agents["b"].pendingOrders), 0, "nothing is placed before the advice is there")
 		time.Sleep(10 * time.Millisecond)
-		assert.DeepEqual(t, advisor.asked(), [][]string{{"a1", "b1"}})
+		assert.DeepEqual(t, advisor.recordedCalls(), [][]string{{"a1", "b1"}})
 		assert.NilError(t, cycle(ctx, term))
 		synctest.Wait()
-		assert.Equal(t, len(agents["a"].mail), 0)
-		start := agents["b"].mail[0].Starts[0]
+		assert.Equal(t, len(agents["a"].pendingOrders), 0)
+		start := agents["b"].pendingOrders[0].Starts[0]
 		assert.Equal(t, start.Ticket, "ticket")
 
 		// A worker that refuses the ticket makes the lead ask again, and is not avoided for it.
-		r := reportOf("b1")
+		r := testReport("b1")
 		r.VM = "b"
-		r.Rejected = []link.Rejected{{Run: start.Run, Refusal: int(host.RefusedAdvice)}}
-		_, err := term.report(mailbox{agents["b"]}, r)
+		r.Rejected = []link.Rejected{{Run: start.Run, Refusal: int(host.RefusedTicket)}}
+		_, err := term.report(fakeSession{agents["b"]}, r)
 		assert.NilError(t, err)
 		assert.NilError(t, cycle(ctx, term))
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, len(advisor.asked()), 2)
+		assert.Equal(t, len(advisor.recordedCalls()), 2)
 		assert.NilError(t, cycle(ctx, term))
 		synctest.Wait()
-		assert.Equal(t, len(agents["b"].mail), 2)
+		assert.Equal(t, len(agents["b"].pendingOrders), 2)
 	})
 }
--- a/internal/dispatch/starvation_test.go
+++ b/internal/dispatch/backlog_test.go
@@ -10,19 +10,19 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// TestBatchIsStarvedWhereWhatWaitsTakesLongerThanItHas: a burst that is done in time is no reason to harm what serves.
-func TestBatchIsStarvedWhereWhatWaitsTakesLongerThanItHas(t *testing.T) {
-	spec := job.Spec{Steps: []job.Step{{Count: 1, Fills: true, Size: job.Size{CPU: 2000}, Estimate: 2 * time.Second}}}
+// TestBacklogRisesIfWaitingWorkExceedsItsObjective: a burst that is done in time is no reason to harm what serves.
+func TestBacklogRisesIfWaitingWorkExceedsItsObjective(t *testing.T) {
+	spec := job.Spec{Steps: []job.Step{{Count: 1, BestEffort: true, Size: job.Size{CPU: 2000}, Estimate: 2 * time.Second}}}
 	owner := job.New("00000000000000aa", spec, job.Queue{Stretch: 5}, time.Unix(0, 0))
 	waiting := func(tasks int) []*plan.Group {
 		return []*plan.Group{{Job: owner, Step: &spec.Steps[0], Indexes: make([]int, tasks)}, {Job: owner, Step: &job.Step{}, Indexes: make([]int, 500)}}
 	}
 	const capacity, used = 200_000, 40_000
-	var s starvation
+	var s batchBacklog
 	now := time.Unix(0, 0)
 	run := func(lasts time.Duration, tasks int) float64 {
 		for end := now.Add(lasts); now.Before(end); now = now.Add(100 * time.Millisecond) {
-			s.observe(now, waiting(tasks), used, capacity)
+			s.update(now, waiting(tasks), used, capacity)
 		}
 		return s.level
 	}
@@ -31,5 +31,5 @@
 	assert.Assert(t, run(time.Second, 200) < 0.3)
 	assert.Assert(t, run(20*time.Second, 200) > 0.9)
 	assert.Assert(t, run(20*time.Second, 0) < 0.1)
-	s.observe(now, waiting(200), 0, 0)
+	s.update(now, waiting(200), 0, 0)
 }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// quickEnd is how long a run must live to be more than a failed attempt.
-	quickEnd = time.Second
-	// leastDelay and mostDelay bound how long a task waits that has ended quickly again; the platform allows six seconds.
-	leastDelay = 100 * time.Millisecond
-	mostDelay  = 2 * time.Second
+	// minRunTime is how long a run must live to be more than a failed attempt.
+	minRunTime = time.Second
+	// minBackoff and mostDelay bound how long a task waits that has ended quickly again; the platform allows six seconds.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // backoff holds a task back whose runs end quickly, one after the other: what lasts may fail without a bound, and would be started
 // again with each plan, so that its commits hold those of all others up.
 type backoff struct {
-	quick int
-	until time.Time
+	quickEnds int
+	until     time.Time
 }
 
-// after returns the backoff once a run has ended that lived for a time; the first that ends quickly may be chance.
-func (b backoff) after(lived time.Duration, now time.Time) backoff {
-	if lived >= quickEnd {
+// next returns the backoff once a run has ended that lived for a time; the first that ends quickly may be chance.
+func (b backoff) next(lived time.Duration, now time.Time) backoff {
+	if lived >= minRunTime {
 		return backoff{}
 	}
-	b.quick++
+	b.quickEnds++
 	delay := time.Duration(0)
-	for n := 1; n < b.quick && delay < mostDelay; n++ {
-		delay = max(leastDelay, 2*delay)
+	for n := 1; n < b.quickEnds && delay < maxBackoff; n++ {
+		delay = max(minBackoff, 2*delay)
 	}
-	b.until = now.Add(min(delay, mostDelay))
+	b.until = now.Add(min(delay, maxBackoff))
 	return b
 }
 
-// holdBack takes note that a run ended which began at a time, where nothing else bounds how often its task is started again.
-func (k *tracked) holdBack(id job.TaskID, end job.End, began time.Time) {
+// backOffAfterEnd takes note that a run ended which began at a time, where nothing else bounds how often its task is started again.
+func (k *trackedJob) backOffAfterEnd(id job.TaskID, end job.End, began time.Time) {
 	step := &k.job.Spec().Steps[id.Step]
 	now := time.Now()
 	switch {
-	case step.Gang && end == job.EndAlone:
-		k.backoffs[id] = k.backoffs[id].after(0, now)
-	case step.Lasting && (end == job.EndFailed || end == job.EndDone):
-		k.backoffs[id] = k.backoffs[id].after(now.Sub(began), now)
+	case step.Gang && end == job.EndGangIncomplete:
+		k.backoffs[id] = k.backoffs[id].next(0, now)
+	case step.LongRunning && (end == job.EndFailed || end == job.EndDone):
+		k.backoffs[id] = k.backoffs[id].next(now.Sub(began), now)
 	}
 }
 
-// refused takes note that a worker refused a start for good, as any other may.
-func (k *tracked) refused(id job.TaskID, why host.Refusal) {
-	if why == host.RefusedWrong {
-		k.backoffs[id] = k.backoffs[id].after(0, time.Now())
+// backOffAfterRefusal takes note that a worker backOffAfterRefusal a start for good, as any other may.
+func (k *trackedJob) backOffAfterRefusal(id job.TaskID, why host.Refusal) {
+	if why == host.RefusedInvalid {
+		k.backoffs[id] = k.backoffs[id].next(0, time.Now())
 	}
 }
 
-// ready returns the waiting tasks of a step that are not held back; a gang is, while one of its members is.
-func (k *tracked) ready(id job.TaskID, waiting []int, now time.Time) []int {
+// readyTasks returns the waiting tasks of a step that are not held back; a gang is, while one of its members is.
+func (k *trackedJob) readyTasks(id job.TaskID, waiting []int, now time.Time) []int {
 	if len(k.backoffs) == 0 {
 		return waiting
 	}
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -10,22 +10,22 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// mostRecords leaves room in a transaction of kv.MaxEntries for two puts and two conditions of the chain and the lead, and
+// maxRecords leaves room in a transaction of kv.MaxEntries for two puts and two conditions of the chain and the lead, and
 // for what was learned.
-const mostRecords = kv.MaxEntries - 6
+const maxRecords = kv.MaxEntries - 6
 
-// checkpointEvery is the least time between two records of a job for its checkpoints alone: tasks save their progress once or
+// checkpointInterval is the least time between two records of a job for its checkpoints alone: tasks save their progress once or
 // twice a second, and a record has up to some kilobytes.
-const checkpointEvery = time.Second
+const checkpointInterval = time.Second
 
 // batch is what one transaction writes.
 type batch struct {
-	change   kv.Txn
-	versions map[*tracked]uint64
+	txn      kv.Txn
+	versions map[*trackedJob]uint64
 	runs     []batchedRun
 	removed  []job.ID
-	// relock says that the batch enters the lead under a new lease.
-	relock bool
+	// reacquire says that the batch enters the lead under a new lease.
+	reacquire bool
 }
 
 // batchedRun is a run that a batch commits for the first time.
@@ -35,19 +35,19 @@
 	run  int
 }
 
-// batch gathers what changed, nil where nothing did.
-func (t *term) batch() (*batch, error) {
-	b := &batch{versions: make(map[*tracked]uint64), relock: t.relock}
-	if b.relock {
-		lead, err := t.leadPut()
+// nextBatch gathers what changed, nil where nothing did.
+func (t *term) nextBatch() (*batch, error) {
+	b := &batch{versions: make(map[*trackedJob]uint64), reacquire: t.leaseReplaced}
+	if b.reacquire {
+		lead, err := t.leaderPut()
 		if err != nil {
 			return nil, err
 		}
-		b.change.Conditions = []kv.Condition{{Key: record.LeadKey}}
-		b.change.Puts = []kv.Put{lead}
+		b.txn.Conditions = []kv.Condition{{Key: record.LeaderKey}}
+		b.txn.Puts = []kv.Put{lead}
 	}
-	for _, id := range t.dirtyInOrder() {
-		if len(b.versions) == mostRecords {
+	for _, id := range t.sortedDirty() {
+		if len(b.versions) == maxRecords {
 			break
 		}
 		delete(t.dirty, id)
@@ -58,23 +58,23 @@
 	if err := t.addCheckpoints(b); err != nil {
 		return nil, err
 	}
-	t.sweep(b)
-	if len(b.versions) == 0 && len(b.removed) == 0 && !b.relock {
+	t.addRemovals(b)
+	if len(b.versions) == 0 && len(b.removed) == 0 && !b.reacquire {
 		return nil, nil
 	}
-	chain, err := t.chainPut(t.commits + 1)
+	chain, err := t.chainPut(t.commitCount + 1)
 	if err != nil {
 		return nil, err
 	}
-	b.change.Conditions = append(b.change.Conditions, kv.Condition{Key: record.ChainKey, Revision: t.chain})
-	b.change.Puts = append(b.change.Puts, chain)
-	t.addLearned(b)
-	b.collect(t)
+	b.txn.Conditions = append(b.txn.Conditions, kv.Condition{Key: record.LastCommitKey, Revision: t.chainRevision})
+	b.txn.Puts = append(b.txn.Puts, chain)
+	t.addModel(b)
+	b.collectRuns(t)
 	return b, nil
 }
 
 // add writes how far a job is, unless the job is forgotten.
-func (b *batch) add(known *tracked) error {
+func (b *batch) add(known *trackedJob) error {
 	if known == nil {
 		return nil
 	}
@@ -82,9 +82,9 @@
 	if err != nil {
 		return err
 	}
-	b.change.Puts = append(b.change.Puts, kv.Put{Key: record.ProgressKey(known.job.ID()), Value: value})
+	b.txn.Puts = append(b.txn.Puts, kv.Put{Key: record.ProgressKey(known.job.ID()), Value: value})
 	b.versions[known] = known.version
-	known.unsaved, known.written = false, time.Now()
+	known.unsavedCheckpoints, known.batchedAt = false, time.Now()
 	return nil
 }
 
@@ -96,12 +96,12 @@
 	}
 	var due []job.ID
 	for id, known := range t.jobs {
-		if known.unsaved && !b.has(known) && time.Since(known.written) >= checkpointEvery {
+		if known.unsavedCheckpoints && !b.contains(known) && time.Since(known.batchedAt) >= checkpointInterval {
 			due = append(due, id)
 		}
 	}
 	slices.Sort(due)
-	for _, id := range due[:min(len(due), mostRecords-len(b.versions))] {
+	for _, id := range due[:min(len(due), maxRecords-len(b.versions))] {
 		if err := b.add(t.jobs[id]); err != nil {
 			return err
 		}
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// collect notes the runs that the batch commits for the first time.
-func (b *batch) collect(t *term) {
+// collectRuns notes the runs that the batch commits for the first time.
+func (b *batch) collectRuns(t *term) {
 	for known := range b.versions {
 		known.job.Each(func(id job.TaskID, task *job.Task) {
 			if task.Phase() != job.Placed {
@@ -120,28 +120,28 @@
 			if h == nil || h.runs[id] == nil || h.runs[id].committed {
 				return
 			}
-			b.runs = append(b.runs, batchedRun{id: id, host: task.Host(), run: h.runs[id].run})
+			b.runs = append(b.runs, batchedRun{id: id, host: task.Host(), run: h.runs[id].number})
 		})
 	}
 	slices.SortFunc(b.runs, func(x, y batchedRun) int { return cmp.Or(compareHosts(x.host, y.host), compareTasks(x.id, y.id)) })
 }
 
-func (b *batch) has(known *tracked) bool {
+func (b *batch) contains(known *trackedJob) bool {
 	_, ok := b.versions[known]
 	return ok
 }
 
-// sweep removes the records of jobs that ended long ago.
-func (t *term) sweep(b *batch) {
+// addRemovals removes the records of jobs that ended long ago.
+func (t *term) addRemovals(b *batch) {
 	const keysOfJob = 3
 	for id, known := range t.jobs {
-		if len(b.versions)+keysOfJob*(len(b.removed)+1) > mostRecords {
+		if len(b.versions)+keysOfJob*(len(b.removed)+1) > maxRecords {
 			return
 		}
-		if known.ended.IsZero() || time.Since(known.ended) < keepEnded || known.saved < known.version {
+		if known.endedAt.IsZero() || time.Since(known.endedAt) < endedJobRetention || known.savedVersion < known.version {
 			continue
 		}
 		b.removed = append(b.removed, id)
-		b.change.Removes = append(b.change.Removes, record.ProgressKey(id), record.JobKey(id), record.CancelKey(id))
+		b.txn.Removes = append(b.txn.Removes, record.ProgressKey(id), record.JobKey(id), record.CancelKey(id))
 	}
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -18,12 +18,12 @@
 
 // Sizes of the benchmark: a grown deployment of the users.
 const (
-	benchServing = 5
-	benchFilling = 5
-	benchImages  = 16
-	benchWaiting = 30
-	benchEnded   = 500
-	benchTasks   = 20
+	benchServing    = 5
+	benchBestEffort = 5
+	benchImages     = 16
+	benchWaiting    = 30
+	benchEnded      = 500
+	benchTasks      = 20
 )
 
 // benchSizes are the numbers of workers: a grown deployment of the users, and fleets.
@@ -32,51 +32,51 @@
 // benchEntries is how many workers there are for each entry.
 const benchEntries = 4
 
-// crowdedTerm returns a term whose workers are busy and for which jobs wait that fit nowhere well.
-func crowdedTerm(workers int) *term {
+// busyTerm returns a term whose workers are busy and for which jobs wait that fit nowhere well.
+func busyTerm(workers int) *term {
 	store := kvtest.New()
-	t := newTerm(entryOf("e", store), 1, 1)
-	t.closures = openHalls(store)
-	serving := t.benchJob(0, job.Step{
-		Count: workers * benchServing, Size: job.Size{CPU: 6000, Memory: 9000}, Lasting: true, Image: "serve", Target: 18 * time.Millisecond,
+	t := newTerm(newTestEntry("e", store), 1, 1)
+	t.closures = confirmedClosures(store)
+	serving := t.addTestJob(0, job.Step{
+		Count: workers * benchServing, Size: job.Size{CPU: 6000, Memory: 9000}, LongRunning: true, Image: "serve", Target: 18 * time.Millisecond,
 	})
-	filling := t.benchJob(1, job.Step{
-		Count: workers * benchFilling, Size: job.Size{CPU: 3000, Memory: 6000}, Fills: true, Image: "fill-0", Estimate: time.Second,
+	filling := t.addTestJob(1, job.Step{
+		Count: workers * benchBestEffort, Size: job.Size{CPU: 3000, Memory: 6000}, BestEffort: true, Image: "fill-0", Estimate: time.Second,
 	})
 	for n := range benchWaiting {
-		t.benchJob(2+n, job.Step{
-			Count: benchTasks, Size: job.Size{CPU: 3000, Memory: 6000}, Fills: true, Image: fmt.Sprintf("fill-%d", n%benchImages), Estimate: time.Second,
+		t.addTestJob(2+n, job.Step{
+			Count: benchTasks, Size: job.Size{CPU: 3000, Memory: 6000}, BestEffort: true, Image: fmt.Sprintf("fill-%d", n%benchImages), Estimate: time.Second,
 		})
 	}
 	for n := range benchEnded {
-		t.benchJob(100+n, job.Step{Count: benchTasks, Size: job.Size{CPU: 500}}).job.Cancel()
+		t.addTestJob(100+n, job.Step{Count: benchTasks, Size: job.Size{CPU: 500}}).job.Cancel()
 	}
 	for e := range workers / benchEntries {
 		t.recordPing(link.Ping{Address: fmt.Sprintf("10.0.0.%d:7720", e)}, nil)
 	}
 	for v := range workers {
-		host := t.benchWorker(fmt.Sprintf("vm-%02d", v))
+		host := t.addWorker(fmt.Sprintf("vm-%02d", v))
 		for i := range benchServing {
-			t.benchPlace(serving, v*benchServing+i, host)
+			t.addRun(serving, v*benchServing+i, host)
 		}
-		for i := range benchFilling {
-			t.benchPlace(filling, v*benchFilling+i, host)
+		for i := range benchBestEffort {
+			t.addRun(filling, v*benchBestEffort+i, host)
 		}
 	}
 	return t
 }
 
-// benchWorker adds a worker and its agent.
-func (t *term) benchWorker(vm string) job.Host {
+// addWorker adds a worker and its agent.
+func (t *term) addWorker(vm string) job.Host {
 	host := job.Host{VM: vm, Incarnation: incarnation.New(vm, 0)}
 	t.agents[vm] = &agent{vm: vm, lastReport: time.Now(), host: host}
-	w := &t.host(host).worker
-	w.Service, w.Capacity, w.Open = testService, job.Size{CPU: 32000, Memory: 128000}, true
+	w := &t.ensureHost(host).worker
+	w.Service, w.Capacity, w.Schedulable = testService, job.Size{CPU: 32000, Memory: 128000}, true
 	return host
 }
 
-// benchJob adds a job of one step.
-func (t *term) benchJob(n int, step job.Step) *tracked {
+// addTestJob adds a job of one step.
+func (t *term) addTestJob(n int, step job.Step) *trackedJob {
 	id := job.ID(fmt.Sprintf("%016x", n))
 	queue := job.Queue{Service: testService, Attempts: 1, Stretch: 2, Target: time.Second}
 	known := newTracked(job.New(id, job.Spec{Steps: []job.Step{step}}, queue, time.Now()))
@@ -84,30 +84,30 @@
 	return known
 }
 
-// benchPlace adds a run of a task on a worker.
-func (t *term) benchPlace(known *tracked, index int, host job.Host) {
+// addRun adds a run of a task on a worker.
+func (t *term) addRun(known *trackedJob, index int, host job.Host) {
 	id := job.TaskID{Job: known.job.ID(), Index: index}
 	run := known.job.Place(id, host, 0)
-	t.host(host).add(id, &known.job.Spec().Steps[0], run)
+	t.ensureHost(host).addRun(id, &known.job.Spec().Steps[0], run)
 }
 
-// BenchmarkDecide measures what the lead reckons between two commits.
-func BenchmarkDecide(b *testing.B) {
+// BenchmarkSchedule measures what the lead reckons between two commits.
+func BenchmarkSchedule(b *testing.B) {
 	for _, workers := range benchSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			t := crowdedTerm(workers)
+			t := busyTerm(workers)
 			for b.Loop() {
 				for _, a := range t.agents {
 					a.lastReport = time.Now()
 				}
-				t.decide()
+				t.schedule()
 			}
 		})
 	}
 }
 
-// openHalls returns closures that are confirmed for longer than a benchmark runs.
-func openHalls(store *kvtest.Store) *hall.Closures {
+// confirmedClosures returns closures that are confirmed for longer than a benchmark runs.
+func confirmedClosures(store *kvtest.Store) *hall.Closures {
 	closures := hall.New(store, testClosures, time.Hour, &boottimetest.Clock{}, logging.Discard())
 	if _, err := store.Commit(context.Background(), kv.Txn{}); err != nil {
 		panic(err)
@@ -121,7 +121,7 @@
 // BenchmarkReport measures what the lead does with one report of an agent.
 func BenchmarkReport(b *testing.B) {
 	for _, workers := range benchSizes {
-		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchReports(b, crowdedTerm(workers)) })
+		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchReports(b, busyTerm(workers)) })
 	}
 }
 
@@ -129,12 +129,12 @@
 	vm := "vm-07"
 	h := t.hosts.get(job.Host{VM: vm, Incarnation: incarnation.New(vm, 0)})
 	report := link.Report{VM: vm, Epoch: 1, Instance: vm, Service: testService, CPU: 32000, Memory: 128000, Fenced: true}
-	for _, id := range h.runsInOrder() {
-		report.Running = append(report.Running, link.Running{Run: link.NewRun(id, h.runs[id].run), Figure: 7, Pace: 100})
+	for _, id := range h.sortedRuns() {
+		report.Running = append(report.Running, link.Running{Run: link.NewRun(id, h.runs[id].number), Measurement: 7, Pace: 100})
 	}
 	for b.Loop() {
-		h.sampled = time.Time{}
-		answer, err := t.report(mailbox{&fakeAgent{vm: vm}}, report)
+		h.sampledAt = time.Time{}
+		answer, err := t.report(fakeSession{&fakeAgent{vm: vm}}, report)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/dispatch/campaign_test.go
+++ b/internal/dispatch/campaign_test.go
@@ -14,25 +14,25 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// thinLink is a store whose ranges take long and whose leases run out.
-type thinLink struct {
+// slowStore is a store whose ranges take long and whose leases run out.
+type slowStore struct {
 	*kvtest.Store
-	takes time.Duration
-	fails bool
+	rangeDelay time.Duration
+	rangeFails bool
 
 	mu     sync.Mutex
 	leases map[kv.LeaseID]*time.Timer
 }
 
-func (s *thinLink) Range(ctx context.Context, prefix string) ([]kv.Item, kv.Revision, error) {
-	<-time.After(s.takes)
-	if s.fails {
+func (s *slowStore) Range(ctx context.Context, prefix string) ([]kv.Item, kv.Revision, error) {
+	<-time.After(s.rangeDelay)
+	if s.rangeFails {
 		return nil, 0, fault.New(fault.OutcomeUnknown, "no answer came in time")
 	}
 	return s.Store.Range(ctx, prefix)
 }
 
-func (s *thinLink) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
+func (s *slowStore) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	id, err := s.Store.Grant(ctx, ttl)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,18 +40,18 @@
 	return id, err
 }
 
-func (s *thinLink) Renew(ctx context.Context, id kv.LeaseID) error {
+func (s *slowStore) Renew(ctx context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.Store.Renew(ctx, id); err != nil {
 		return err
 	}
-	s.leases[id].Reset(leaseTime)
+	s.leases[id].Reset(leaseTTL)
 	return nil
 }
 
-// standing runs dispatchers beside each other for a while, each with its own view of a store.
-func standing(t *testing.T, length time.Duration, stores ...*thinLink) []*Dispatcher {
+// runDispatchers runs dispatchers beside each other for a while, each with its own view of a store.
+func runDispatchers(t *testing.T, length time.Duration, stores ...*slowStore) []*Dispatcher {
 	t.Helper()
 	_, err := stores[0].Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: "op/config"}}})
 	assert.NilError(t, err)
@@ -59,9 +59,9 @@
 	var running sync.WaitGroup
 	var all []*Dispatcher
 	for i, s := range stores {
-		d := entryOf(string(rune('a'+i)), s)
+		d := newTestEntry(string(rune('a'+i)), s)
 		all = append(all, d)
-		running.Go(func() { d.config.Lead.Run(ctx) })
+		running.Go(func() { d.config.Leader.Run(ctx) })
 		running.Go(func() { d.Run(ctx) })
 	}
 	<-time.After(length)
@@ -73,27 +73,27 @@
 	return all
 }
 
-// TestLeaseIsKeptWhileJobsAreRead failed with a new lead every two seconds, none of which ever placed anything.
-func TestLeaseIsKeptWhileJobsAreRead(t *testing.T) {
+// TestLeaseIsRenewedWhileJobsAreLoaded failed with a new lead every two seconds, none of which ever placed anything.
+func TestLeaseIsRenewedWhileJobsAreLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		leases := make(map[kv.LeaseID]*time.Timer)
-		thin := &thinLink{Store: store, takes: 2 * time.Second, leases: leases}
-		standing(t, 20*time.Second, thin, thin)
+		thin := &slowStore{Store: store, rangeDelay: 2 * time.Second, leases: leases}
+		runDispatchers(t, 20*time.Second, thin, thin)
 		chain, _, err := readChain(t.Context(), store)
 		assert.NilError(t, err)
 		assert.Equal(t, chain.Epoch, uint64(FencesPerEpoch))
 	})
 }
 
-// TestEntryThatCannotReadTheJobsLeavesTheLead to one that can.
-func TestEntryThatCannotReadTheJobsLeavesTheLead(t *testing.T) {
+// TestEntryThatCannotLoadJobsGivesUpLeadership to one that can.
+func TestEntryThatCannotLoadJobsGivesUpLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		leases := make(map[kv.LeaseID]*time.Timer)
-		broken := &thinLink{Store: store, takes: time.Second, fails: true, leases: leases}
-		sound := &thinLink{Store: store, leases: leases}
-		all := standing(t, 10*time.Second, broken, sound)
+		broken := &slowStore{Store: store, rangeDelay: time.Second, rangeFails: true, leases: leases}
+		sound := &slowStore{Store: store, leases: leases}
+		all := runDispatchers(t, 10*time.Second, broken, sound)
 		assert.Assert(t, all[0].term.Load() == nil)
 		assert.Assert(t, all[1].term.Load() != nil)
 	})
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -10,32 +10,32 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// TestRankedCandidatesStandOneAfterTheOther: 50 equal entries of a fleet stood for the lead at one moment, each with four calls to the store.
-func TestRankedCandidatesStandOneAfterTheOther(t *testing.T) {
+// TestRankedCandidatesCampaignInTurn: 50 equal entries of a fleet stood for the lead at one moment, each with four calls to the store.
+func TestRankedCandidatesCampaignInTurn(t *testing.T) {
 	assert.Equal(t, candidateDelay(1, 0.2, 0.9), time.Duration(0), "the first tries at once")
-	for place := 2; place <= mostSteps; place++ {
-		assert.Equal(t, candidateDelay(place, 0.2, 0.9)-candidateDelay(place-1, 0.2, 0.9), rankStep)
+	for place := 2; place <= maxRankDelays; place++ {
+		assert.Equal(t, candidateDelay(place, 0.2, 0.9)-candidateDelay(place-1, 0.2, 0.9), rankDelay)
 	}
 	last := candidateDelay(184, 0.2, 0.99)
-	assert.Assert(t, last > mostSteps*rankStep && last <= mostSteps*rankStep+lastSpread, "%v", last)
+	assert.Assert(t, last > maxRankDelays*rankDelay && last <= maxRankDelays*rankDelay+lowRankSpread, "%v", last)
 	assert.Assert(t, candidateDelay(0, 1.6, 0) < candidateDelay(0, 0.2, 0), "without a rank the stronger one goes first")
 	assert.Assert(t, candidateDelay(0, 0.2, 0.1) < candidateDelay(0, 0.2, 0.9), "equals do not stand at one moment")
 }
 
-// TestEntryThatTheLeaderAsksStandsAtOnce, whatever its place: its leader has already yielded.
-func TestEntryThatTheLeaderAsksStandsAtOnce(t *testing.T) {
-	d := entryOf("e", kvtest.New())
-	d.Rank(17)
-	assert.Equal(t, d.place(), 17)
-	d.Suspect(3, "its VM refuses connections")
-	assert.Equal(t, d.place(), 17)
-	d.Succeed(3)
-	assert.Equal(t, d.place(), 1)
+// TestEntryThatIsAskedToSucceedCampaignsAtOnce, whatever its place: its leader has already yielded.
+func TestEntryThatIsAskedToSucceedCampaignsAtOnce(t *testing.T) {
+	d := newTestEntry("e", kvtest.New())
+	d.SetRank(17)
+	assert.Equal(t, d.currentRank(), 17)
+	d.SuspectLeader(3, "its VM refuses connections")
+	assert.Equal(t, d.currentRank(), 17)
+	d.TakeOver(3)
+	assert.Equal(t, d.currentRank(), 1)
 	assert.Assert(t, d.mayReplace(3))
 }
 
-// TestRankOfEntriesIsByStrength and differs among equals from epoch to epoch, so that one that cannot lead is not always the first to try.
-func TestRankOfEntriesIsByStrength(t *testing.T) {
+// TestEntriesAreRankedByStrength and differs among equals from epoch to epoch, so that one that cannot lead is not always the first to try.
+func TestEntriesAreRankedByStrength(t *testing.T) {
 	r := newRoster("self")
 	const strong, weak = 5, 20
 	for i := range strong + weak {
--- a/internal/dispatch/checkpoint_test.go
+++ b/internal/dispatch/checkpoint_test.go
@@ -14,23 +14,23 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// TestCheckpointsOutlastTheLead failed with tasks that began anew after all VMs had gone at once: a checkpoint was stored only
+// TestCheckpointsSurviveALeaderChange failed with tasks that began anew after all VMs had gone at once: a checkpoint was stored only
 // with the next start or end of a task of the same job.
-func TestCheckpointsOutlastTheLead(t *testing.T) {
+func TestCheckpointsSurviveALeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		term := testTerm(t, store)
-		step := job.Step{Count: 1, Size: job.Size{CPU: 1000}, Fills: true, Checkpoints: true, Image: "mail", Estimate: time.Minute}
-		host := term.benchWorker("vm")
-		slow := term.benchJob(1, step)
+		step := job.Step{Count: 1, Size: job.Size{CPU: 1000}, BestEffort: true, Checkpoints: true, Image: "mail", Estimate: time.Minute}
+		host := term.addWorker("vm")
+		slow := term.addTestJob(1, step)
 		task := job.TaskID{Job: slow.job.ID()}
 		report := link.Report{VM: "vm", Epoch: term.epoch, Instance: "vm", Service: testService, CPU: 32000, Memory: 128000, Fenced: true}
-		term.benchPlace(slow, 0, host)
+		term.addRun(slow, 0, host)
 		report.Running = []link.Running{{Run: link.NewRun(task, 1), Percent: 20, Pace: 100, Checkpoint: "a fifth"}}
-		_, err := term.report(mailbox{}, report)
+		_, err := term.report(fakeSession{}, report)
 		assert.NilError(t, err)
-		time.Sleep(2 * checkpointEvery)
-		term.touch(term.benchJob(2, step))
+		time.Sleep(2 * checkpointInterval)
+		term.markDirty(term.addTestJob(2, step))
 		assert.NilError(t, cycle(context.Background(), term))
 
 		again := job.New(slow.job.ID(), *slow.job.Spec(), slow.job.Queue(), time.Now())
--- a/internal/dispatch/closures.go
+++ b/internal/dispatch/closures.go
@@ -16,8 +16,8 @@
 	return ctx.Err()
 }
 
-// closed reports whether a worker is in a hall that the operators have closed.
-func (t *term) closed(host job.Host) bool {
+// hallClosed reports whether a worker is in a hall that the operators have hallClosed.
+func (t *term) hallClosed(host job.Host) bool {
 	return t.closures.Status(t.hallOf(host)).Closed
 }
 
@@ -29,16 +29,16 @@
 	return ""
 }
 
-// confirmed reports whether the lead knows which halls are closed; it logs when that changes.
-func (t *term) confirmed() bool {
+// closuresConfirmed reports whether the lead knows which halls are closed; it logs when that changes.
+func (t *term) closuresConfirmed() bool {
 	stale := t.closures.Stale()
 	switch {
-	case stale && !t.unconfirmed:
+	case stale && !t.closuresUnconfirmed:
 		t.logger.Warn("nothing is placed; reason=the store has not confirmed of late which halls are closed")
-	case !stale && t.unconfirmed:
+	case !stale && t.closuresUnconfirmed:
 		t.logger.Info("tasks are placed again; the store has confirmed which halls are closed")
 	}
-	t.unconfirmed = stale
+	t.closuresUnconfirmed = stale
 	return !stale
 }
 
@@ -48,17 +48,17 @@
 	return link.Hall{Closed: status.Closed, Revision: uint64(status.Revision)}
 }
 
-// closedLoad is since when a hall is closed and what is left in it.
-type closedLoad struct {
-	since                     time.Time
-	workers, running, lasting int
+// closedHall is since when a hall is closed and what is left in it.
+type closedHall struct {
+	since                         time.Time
+	workers, running, longRunning int
 }
 
-// closedLoads returns what is left in each closed hall.
-func (t *term) closedLoads() map[string]*closedLoad {
-	left := make(map[string]*closedLoad)
+// closedHalls returns what is left in each closed hall.
+func (t *term) closedHalls() map[string]*closedHall {
+	left := make(map[string]*closedHall)
 	for name, since := range t.closures.Closed() {
-		left[name] = &closedLoad{since: since}
+		left[name] = &closedHall{since: since}
 	}
 	for _, h := range t.hosts.all() {
 		if l := left[t.hallOf(h.worker.Host)]; l != nil {
@@ -69,44 +69,44 @@
 }
 
 // add counts a worker of the hall and what runs there.
-func (l *closedLoad) add(h *hosted) {
+func (l *closedHall) add(h *hostState) {
 	l.workers++
 	for _, p := range h.runs {
 		l.running++
-		if p.step.Lasting {
-			l.lasting++
+		if p.step.LongRunning {
+			l.longRunning++
 		}
 	}
 }
 
 // logClosures tells what is left in each closed hall.
 func (t *term) logClosures() {
-	left := t.closedLoads()
+	left := t.closedHalls()
 	for _, name := range slices.Sorted(maps.Keys(left)) {
 		l := left[name]
 		t.logger.Info("hall is closed; hall=%s closed_ms=%d workers=%d running=%d lasting=%d",
-			name, time.Since(l.since).Milliseconds(), l.workers, l.running, l.lasting)
+			name, time.Since(l.since).Milliseconds(), l.workers, l.running, l.longRunning)
 	}
 }
 
 // registerClosures registers how many halls are closed and how many runs are left there; an entry that does not lead has none.
 func (d *Dispatcher) registerClosures() {
-	d.config.Metrics.Gauge("lead.closed_halls", func() int64 { return int64(len(d.closedLoads())) })
+	d.config.Metrics.Gauge("lead.closed_halls", func() int64 { return int64(len(d.closedHalls())) })
 	d.config.Metrics.Gauge("lead.closed_running", func() int64 {
 		running := 0
-		for _, l := range d.closedLoads() {
+		for _, l := range d.closedHalls() {
 			running += l.running
 		}
 		return int64(running)
 	})
 }
 
-func (d *Dispatcher) closedLoads() map[string]*closedLoad {
+func (d *Dispatcher) closedHalls() map[string]*closedHall {
 	t := d.term.Load()
 	if t == nil {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.closedLoads()
+	return t.closedHalls()
 }
--- a/internal/dispatch/closures_test.go
+++ b/internal/dispatch/closures_test.go
@@ -16,64 +16,64 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// closingTest is a lead with one job of one task and an agent in each of two halls.
-type closingTest struct {
+// closureTest is a lead with one job of one task and an agent in each of two halls.
+type closureTest struct {
 	t            *testing.T
 	store        *kvtest.Store
 	term         *term
 	north, south *fakeAgent
 }
 
-func newClosingTest(t *testing.T) *closingTest {
+func newClosureTest(t *testing.T) *closureTest {
 	store := kvtest.New()
-	c := &closingTest{
+	c := &closureTest{
 		t: t, store: store, term: testTerm(t, store),
 		north: &fakeAgent{vm: "vm-north", hall: "north"}, south: &fakeAgent{vm: "vm-south", hall: "south"},
 	}
 	return c
 }
 
-func (c *closingTest) change(txn kv.Txn) {
+func (c *closureTest) commit(txn kv.Txn) {
 	c.t.Helper()
 	_, err := c.store.Commit(context.Background(), txn)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, c.term.closures.Load(context.Background()))
 }
 
-func (c *closingTest) close(hall string) {
+func (c *closureTest) close(hall string) {
 	c.t.Helper()
-	c.change(kv.Txn{Puts: []kv.Put{{Key: testClosures + hall, Value: []byte("{}")}}})
+	c.commit(kv.Txn{Puts: []kv.Put{{Key: testClosures + hall, Value: []byte("{}")}}})
 }
 
-func (c *closingTest) open(hall string) {
+func (c *closureTest) open(hall string) {
 	c.t.Helper()
-	c.change(kv.Txn{Removes: []string{testClosures + hall}})
+	c.commit(kv.Txn{Removes: []string{testClosures + hall}})
 }
 
 // report lets an agent report what it has, and returns the answer.
-func (c *closingTest) report(a *fakeAgent, rejected ...link.Rejected) link.ReportAnswer {
+func (c *closureTest) report(a *fakeAgent, rejected ...link.Rejected) link.ReportAnswer {
 	c.t.Helper()
-	r := reportOf(a.vm + "-1")
+	r := testReport(a.vm + "-1")
 	r.VM, r.Hall, r.Rejected = a.vm, a.hall, rejected
-	answer, err := c.term.report(mailbox{a}, r)
+	answer, err := c.term.report(fakeSession{a}, r)
 	assert.NilError(c.t, err)
 	return answer
 }
 
-// work lets the lead plan, commit and send its orders.
-func (c *closingTest) work() {
+// runCycle lets the lead plan, commit and send its orders.
+func (c *closureTest) runCycle() {
 	c.t.Helper()
 	assert.NilError(c.t, cycle(context.Background(), c.term))
 	synctest.Wait()
 }
 
-func (c *closingTest) task() *job.Task {
+func (c *closureTest) task() *job.Task {
 	return c.term.jobs["00000000000000aa"].job.Task(job.TaskID{Job: "00000000000000aa"})
 }
 
-func starts(a *fakeAgent) int {
+func startOrders(a *fakeAgent) int {
 	count := 0
-	for _, orders := range a.mail {
+	for _, orders := range a.pendingOrders {
 		count += len(orders.Starts)
 	}
 	return count
@@ -81,134 +81,134 @@
 
 func TestNothingIsPlacedInAClosedHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		c.close("north")
 		c.close("south")
 		answer := c.report(c.north)
 		assert.Assert(t, answer.Hall.Closed)
 		assert.Assert(t, c.report(c.south).Hall.Closed)
-		c.work()
+		c.runCycle()
 		assert.Equal(t, c.task().Phase(), job.Waiting)
 		c.open("north")
 		assert.Assert(t, !c.report(c.north).Hall.Closed)
-		c.work()
-		assert.Equal(t, starts(c.north), 1)
-		assert.Assert(t, !c.north.mail[0].Hall.Closed && c.north.mail[0].Hall.Revision > answer.Hall.Revision,
+		c.runCycle()
+		assert.Equal(t, startOrders(c.north), 1)
+		assert.Assert(t, !c.north.pendingOrders[0].Hall.Closed && c.north.pendingOrders[0].Hall.Revision > answer.Hall.Revision,
 			"the order tells that the hall is open again")
 	})
 }
 
-// TestWhatIsCommittedAsItsHallIsClosedIsPlacedElsewhere is a closure that comes while the commit is on its way.
-func TestWhatIsCommittedAsItsHallIsClosedIsPlacedElsewhere(t *testing.T) {
+// TestRunIsPlacedElsewhereIfItsHallClosesDuringCommit is a closure that comes while the commit is on its way.
+func TestRunIsPlacedElsewhereIfItsHallClosesDuringCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		c.report(c.north)
-		c.term.decide()
+		c.term.schedule()
 		assert.Equal(t, c.task().Host().VM, "vm-north")
 		c.close("north")
 		c.report(c.south)
-		c.work()
-		c.work()
-		assert.Equal(t, starts(c.north), 0)
-		assert.Equal(t, starts(c.south), 1)
+		c.runCycle()
+		c.runCycle()
+		assert.Equal(t, startOrders(c.north), 0)
+		assert.Equal(t, startOrders(c.south), 1)
 		assert.Equal(t, c.task().Run(), 2)
 	})
 }
 
-// TestLostOrderToAClosedHallIsTakenBack is an order that was lost, so that it would be given again.
-func TestLostOrderToAClosedHallIsTakenBack(t *testing.T) {
+// TestLostOrderToAClosedHallIsWithdrawn is an order that was lost, so that it would be given again.
+func TestLostOrderToAClosedHallIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		c.report(c.north)
-		c.work()
-		assert.Equal(t, starts(c.north), 1)
+		c.runCycle()
+		assert.Equal(t, startOrders(c.north), 1)
 		c.close("north")
 		time.Sleep(resendAfter + time.Millisecond)
-		c.change(kv.Txn{})
+		c.commit(kv.Txn{})
 		c.report(c.north)
-		c.work()
-		assert.Equal(t, starts(c.north), 1)
-		last := c.north.mail[len(c.north.mail)-1]
+		c.runCycle()
+		assert.Equal(t, startOrders(c.north), 1)
+		last := c.north.pendingOrders[len(c.north.pendingOrders)-1]
 		assert.DeepEqual(t, last.Stops, []link.Run{{Task: "00000000000000aa.0.0.0", Number: 1}})
 		// The acknowledged stop of a run that never began frees its task at once.
 		c.report(c.south)
 		c.report(c.north, link.Rejected{Run: last.Stops[0], Refusal: 2})
-		c.work()
-		assert.Equal(t, starts(c.south), 1)
+		c.runCycle()
+		assert.Equal(t, startOrders(c.south), 1)
 	})
 }
 
-// TestNothingIsPlacedWhileClosuresMayBeUnknown is a store that takes commits and does not tell the lead of closures.
-func TestNothingIsPlacedWhileClosuresMayBeUnknown(t *testing.T) {
+// TestNothingIsPlacedWhileClosuresAreUnconfirmed is a store that takes commits and does not tell the lead of closures.
+func TestNothingIsPlacedWhileClosuresAreUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		time.Sleep(testClosedWithin / 2)
 		c.report(c.north)
-		c.work()
+		c.runCycle()
 		assert.Equal(t, c.task().Phase(), job.Waiting)
 		assert.NilError(t, c.term.closures.Load(context.Background()))
-		c.work()
-		assert.Equal(t, starts(c.north), 1)
+		c.runCycle()
+		assert.Equal(t, startOrders(c.north), 1)
 	})
 }
 
-// TestCommittedRunIsOrderedOnceClosuresAreKnownAgain is a commit that is done long after its hall was known to be open.
-func TestCommittedRunIsOrderedOnceClosuresAreKnownAgain(t *testing.T) {
+// TestCommittedRunIsOrderedOnceClosuresAreConfirmed is a commit that is done long after its hall was known to be open.
+func TestCommittedRunIsOrderedOnceClosuresAreConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		c.report(c.north)
-		c.term.decide()
+		c.term.schedule()
 		time.Sleep(testClosedWithin / 2)
 		c.report(c.north)
-		assert.NilError(t, c.term.settle(context.Background()))
+		assert.NilError(t, c.term.commitChanges(context.Background()))
 		synctest.Wait()
-		assert.Equal(t, starts(c.north), 0)
+		assert.Equal(t, startOrders(c.north), 0)
 		assert.NilError(t, c.term.closures.Load(context.Background()))
 		c.report(c.north)
-		c.work()
-		assert.Equal(t, starts(c.north), 1)
+		c.runCycle()
+		assert.Equal(t, startOrders(c.north), 1)
 		assert.Equal(t, c.task().Run(), 1)
 	})
 }
 
-// TestNextLeadKnowsOfClosuresBeforeItPlaces is a lead that takes over while a hall is closed.
-func TestNextLeadKnowsOfClosuresBeforeItPlaces(t *testing.T) {
+// TestNewLeaderLoadsClosuresBeforePlacing is a lead that takes over while a hall is closed.
+func TestNewLeaderLoadsClosuresBeforePlacing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		c.close("north")
 		c.store.Revoke()
-		next, err := entryOf("next", c.store).stand(context.Background())
+		next, err := newTestEntry("next", c.store).tryAcquire(context.Background())
 		assert.NilError(t, err)
 		assert.NilError(t, next.load(context.Background()))
 		c.term = next
-		r := reportOf("vm-north-1")
+		r := testReport("vm-north-1")
 		r.VM, r.Hall, r.Epoch = "vm-north", "north", next.epoch
-		_, err = next.report(mailbox{c.north}, r)
+		_, err = next.report(fakeSession{c.north}, r)
 		assert.NilError(t, err)
-		c.work()
+		c.runCycle()
 		assert.Equal(t, c.task().Phase(), job.Waiting)
 	})
 }
 
-// TestMetricsTellWhatIsLeftInClosedHalls plays a run that goes on in a hall that was closed, until this entry leads no more.
-func TestMetricsTellWhatIsLeftInClosedHalls(t *testing.T) {
+// TestMetricsCountRunsInClosedHalls plays a run that goes on in a hall that was closed, until this entry leads no more.
+func TestMetricsCountRunsInClosedHalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClosingTest(t)
+		c := newClosureTest(t)
 		c.report(c.north)
-		c.work()
+		c.runCycle()
 		c.close("north")
-		d := c.term.d
+		d := c.term.dispatcher
 		d.term.Store(c.term)
-		assert.Assert(t, cmp.Contains(written(d), `"lead.closed_halls":{"value":1}`))
-		assert.Assert(t, cmp.Contains(written(d), `"lead.closed_running":{"value":1}`))
+		assert.Assert(t, cmp.Contains(metricsText(d), `"lead.closed_halls":{"value":1}`))
+		assert.Assert(t, cmp.Contains(metricsText(d), `"lead.closed_running":{"value":1}`))
 		d.term.Store(nil)
-		assert.Assert(t, cmp.Contains(written(d), `"lead.closed_halls":{"value":0}`))
-		assert.Assert(t, cmp.Contains(written(d), `"lead.closed_running":{"value":0}`))
+		assert.Assert(t, cmp.Contains(metricsText(d), `"lead.closed_halls":{"value":0}`))
+		assert.Assert(t, cmp.Contains(metricsText(d), `"lead.closed_running":{"value":0}`))
 	})
 }
 
-// written returns the metrics of an entry as they are served.
-func written(d *Dispatcher) string {
+// metricsText returns the metrics of an entry as they are served.
+func metricsText(d *Dispatcher) string {
 	var text strings.Builder
 	d.config.Metrics.Write(&text)
 	return text.String()
--- a/internal/dispatch/world_workers_test.go
+++ b/internal/dispatch/clustermodel_workers_test.go
@@ -12,13 +12,13 @@
 )
 
 // follow binds an agent to a lead, unless it has followed a later one.
-func (w *world) follow(a *fakeAgent, t *term) bool {
+func (w *clusterModel) follow(a *fakeAgent, t *term) bool {
 	if t.epoch < a.epoch {
 		return false
 	}
 	if t.epoch > a.epoch {
-		a.epoch, a.followed = t.epoch, time.Now()
-		a.mail = nil
+		a.epoch, a.connectedAt = t.epoch, time.Now()
+		a.pendingOrders = nil
 		a.rejected = nil
 	}
 	a.worker.fence = max(a.worker.fence, a.epoch)
@@ -26,15 +26,15 @@
 }
 
 // report tells a lead what the worker has and takes the permission.
-func (w *world) report(a *fakeAgent, t *term) {
+func (w *clusterModel) report(a *fakeAgent, t *term) {
 	if !w.follow(a, t) {
 		return
 	}
-	a.notice()
+	a.detectWorker()
 	a.worker.expire()
 	sent := time.Now()
 	r := link.Report{
-		VM: a.vm, Hall: a.hall, Epoch: a.epoch, Instance: a.known.Worker(), Born: a.known.Born(), Service: testService, CPU: testCapacity.CPU,
+		VM: a.vm, Hall: a.hall, Epoch: a.epoch, Instance: a.known.Worker(), StartMillis: a.known.StartMillis(), Service: testService, CPU: testCapacity.CPU,
 		Memory: testCapacity.Memory, Fenced: true, Rejected: a.rejected,
 	}
 	for _, name := range sortedKeys(a.worker.running) {
@@ -47,7 +47,7 @@
 			r.Ended = append(r.Ended, e)
 		}
 	}
-	for _, orders := range a.mail {
+	for _, orders := range a.pendingOrders {
 		if orders.Incarnation() != a.known {
 			continue
 		}
@@ -55,76 +55,76 @@
 			r.Pending = append(r.Pending, s.Run)
 		}
 	}
-	before := len(a.mail)
+	before := len(a.pendingOrders)
 	answered := make(chan struct{})
 	var answer link.ReportAnswer
 	var err error
 	go func() {
 		defer close(answered)
-		answer, err = t.report(mailbox{a}, r)
+		answer, err = t.report(fakeSession{a}, r)
 	}()
 	synctest.Wait()
-	if t == w.newest() {
-		w.lead(t)
+	if t == w.currentTerm() {
+		w.runLeader(t)
 	}
 	<-answered
 	// The orders that the lead sends meanwhile are on a way of their own, so that the answer comes before or after them.
 	synctest.Wait()
 	var later []link.Orders
 	if rapid.Bool().Draw(w.t, "answer before orders") {
-		later = slices.Clone(a.mail[before:])
-		a.mail = a.mail[:before]
+		later = slices.Clone(a.pendingOrders[before:])
+		a.pendingOrders = a.pendingOrders[:before]
 	}
 	if err == nil {
-		w.take(a, r, answer, sent)
+		w.applyAnswer(a, r, answer, sent)
 	}
-	a.mail = append(a.mail, later...)
+	a.pendingOrders = append(a.pendingOrders, later...)
 }
 
-func (w *world) take(a *fakeAgent, r link.Report, answer link.ReportAnswer, sent time.Time) {
-	if sent.After(a.permitted) && !a.permitted.IsZero() {
-		a.forsake()
+func (w *clusterModel) applyAnswer(a *fakeAgent, r link.Report, answer link.ReportAnswer, sent time.Time) {
+	if sent.After(a.leaseEnd) && !a.leaseEnd.IsZero() {
+		a.dropOrders()
 	}
-	a.learn(answer.Hall, sent)
+	a.updateHall(answer.Hall, sent)
 	a.worker.expire()
-	a.permitted = later(a.permitted, sent.Add(time.Duration(answer.PermissionMillis)*time.Millisecond))
+	a.leaseEnd = later(a.leaseEnd, sent.Add(time.Duration(answer.LeaseMillis)*time.Millisecond))
 	if r.Incarnation() != a.worker.id {
 		return
 	}
 	a.rejected = nil
-	a.seen = max(a.seen, answer.Seen)
-	a.worker.held = a.permitted
+	a.seen = max(a.seen, answer.AcknowledgedEnds)
+	a.worker.leaseEnd = a.leaseEnd
 	for _, e := range a.worker.ended {
 		// What ended before the worker's time was over may have been given up, by the platform's own reckoning.
 		if e.Sequence <= a.worker.lapsed {
 			continue
 		}
 		if e.Sequence <= a.seen && job.End(e.End) == job.EndDone {
-			w.noted[e.Task] = true
+			w.acknowledgedTasks[e.Task] = true
 		}
 		if e.Sequence <= a.seen && job.End(e.End) == job.EndFailed {
-			w.failed[e.Task]++
+			w.failureCounts[e.Task]++
 		}
 	}
 	a.worker.ended = slices.DeleteFunc(a.worker.ended, func(e link.Ended) bool { return e.Sequence <= a.seen })
 	for name, run := range a.worker.running {
-		run.until = a.permitted
+		run.until = a.leaseEnd
 		a.worker.running[name] = run
 	}
 }
 
-// deliver carries out one letter of an agent's mail, not always the oldest.
-func (w *world) deliver(a *fakeAgent) {
-	if len(a.mail) == 0 {
+// deliverOrders carries out one letter of an agent's mail, not always the oldest.
+func (w *clusterModel) deliverOrders(a *fakeAgent) {
+	if len(a.pendingOrders) == 0 {
 		return
 	}
-	n := rapid.IntRange(0, len(a.mail)-1).Draw(w.t, "letter")
-	orders := a.mail[n]
-	a.mail = slices.Delete(a.mail, n, n+1)
+	n := rapid.IntRange(0, len(a.pendingOrders)-1).Draw(w.t, "letter")
+	orders := a.pendingOrders[n]
+	a.pendingOrders = slices.Delete(a.pendingOrders, n, n+1)
 	if orders.Epoch != a.epoch || orders.Incarnation() != a.known {
 		return
 	}
-	a.learn(orders.Hall, a.followed)
+	a.updateHall(orders.Hall, a.connectedAt)
 	for _, s := range orders.Starts {
 		w.start(a, s)
 	}
@@ -133,15 +133,15 @@
 	}
 }
 
-func (w *world) start(a *fakeAgent, s link.Start) {
+func (w *clusterModel) start(a *fakeAgent, s link.Start) {
 	worker := a.worker
 	worker.expire()
-	if s.Number <= a.dead[s.Task] || a.listed[s.Run] {
+	if s.Number <= a.refusedRuns[s.Task] || a.listed[s.Run] {
 		return
 	}
-	if worker.latest[s.Task] < s.Number && (!time.Now().Before(a.permitted) || worker.fence > a.epoch || !a.mayStart()) {
+	if worker.latest[s.Task] < s.Number && (!time.Now().Before(a.leaseEnd) || worker.fence > a.epoch || !a.mayStart()) {
 		if worker.latest[s.Task] < s.Number {
-			a.dead[s.Task] = s.Number
+			a.refusedRuns[s.Task] = s.Number
 		}
 		a.rejected = append(a.rejected, link.Rejected{Run: s.Run, Refusal: 1})
 		return
@@ -154,21 +154,21 @@
 		}
 		return
 	}
-	w.judge(a, s)
+	w.checkStart(a, s)
 	id, _ := job.ParseTaskID(s.Task)
 	worker.latest[s.Task] = s.Number
-	worker.running[s.Task] = fakeRun{number: s.Number, until: a.permitted, size: w.specs[id.Job].Steps[id.Step].Room()}
-	worker.room(w.t)
+	worker.running[s.Task] = fakeRun{number: s.Number, until: a.leaseEnd, size: w.specs[id.Job].Steps[id.Step].Reservation()}
+	worker.checkCapacity(w.t)
 }
 
-// judge fails the test where a start must never happen.
-func (w *world) judge(a *fakeAgent, s link.Start) {
+// checkStart fails the test where a start must never happen.
+func (w *clusterModel) checkStart(a *fakeAgent, s link.Start) {
 	id, _ := job.ParseTaskID(s.Task)
 	spec, known := w.specs[id.Job]
 	if !known {
 		w.t.Fatalf("%s: started, but nobody handed it in", s.Task)
 	}
-	if since, closed := w.closed[a.hall]; closed && time.Since(since) > testClosedWithin {
+	if since, closed := w.closedSince[a.hall]; closed && time.Since(since) > testClosedWithin {
 		w.t.Fatalf("%s: run %d starts on %s in a hall that has been closed for %s", s.Task, s.Number, a.vm, time.Since(since))
 	}
 	step := spec.Steps[id.Step]
@@ -178,11 +178,11 @@
 			w.t.Fatalf("%s: run %d starts on %s while it runs on %s", s.Task, s.Number, a.vm, other.vm)
 		}
 	}
-	if w.noted[s.Task] && !step.Lasting {
+	if w.acknowledgedTasks[s.Task] && !step.LongRunning {
 		w.t.Fatalf("%s: run %d starts after its end was taken note of", s.Task, s.Number)
 	}
-	if w.failed[s.Task] >= testAttempts && !step.Lasting && !step.Gang {
-		w.t.Fatalf("%s: run %d starts after %d failures", s.Task, s.Number, w.failed[s.Task])
+	if w.failureCounts[s.Task] >= testAttempts && !step.LongRunning && !step.Gang {
+		w.t.Fatalf("%s: run %d starts after %d failures", s.Task, s.Number, w.failureCounts[s.Task])
 	}
 	for _, d := range step.DependsOn {
 		if !w.stepDone(id, d) {
@@ -191,22 +191,22 @@
 	}
 }
 
-func (w *world) stepDone(id job.TaskID, step int) bool {
+func (w *clusterModel) stepDone(id job.TaskID, step int) bool {
 	spec := w.specs[id.Job].Steps[step]
 	for i := range spec.Count {
 		name := job.TaskID{Job: id.Job, Step: step, Index: i}.String()
-		if w.done[name] == spec.Gang && spec.Gang {
+		if w.completedTasks[name] == spec.Gang && spec.Gang {
 			return true
 		}
-		if !spec.Gang && !w.done[name] {
+		if !spec.Gang && !w.completedTasks[name] {
 			return false
 		}
 	}
 	return !spec.Gang
 }
 
-// finish ends a run of a worker by itself.
-func (w *world) finish(a *fakeAgent) {
+// finishRandomRun ends a run of a worker by itself.
+func (w *clusterModel) finishRandomRun(a *fakeAgent) {
 	a.worker.expire()
 	names := sortedKeys(a.worker.running)
 	if len(names) == 0 {
@@ -216,21 +216,21 @@
 	id, _ := job.ParseTaskID(name)
 	step := w.specs[id.Job].Steps[id.Step]
 	end := job.EndDone
-	if step.Lasting || rapid.IntRange(0, 5).Draw(w.t, "fails") == 0 {
+	if step.LongRunning || rapid.IntRange(0, 5).Draw(w.t, "fails") == 0 {
 		end = job.EndFailed
 	}
 	if step.Gang {
-		w.finishGang(id, step.Count, end)
+		w.endGang(id, step.Count, end)
 		return
 	}
 	if end == job.EndDone {
-		w.done[name] = true
+		w.completedTasks[name] = true
 	}
 	a.worker.end(name, end)
 }
 
-// finishGang ends all members of a gang together, and as alone where some are missing.
-func (w *world) finishGang(id job.TaskID, count int, end job.End) {
+// endGang ends all members of a gang together, and as alone where some are missing.
+func (w *clusterModel) endGang(id job.TaskID, count int, end job.End) {
 	members := make(map[string]*fakeWorker)
 	for _, a := range w.agents {
 		a.worker.expire()
@@ -242,17 +242,17 @@
 	}
 	if len(members) < count {
 		for _, name := range sortedKeys(members) {
-			members[name].end(name, job.EndAlone)
+			members[name].end(name, job.EndGangIncomplete)
 		}
 		return
 	}
 	for n, name := range sortedKeys(members) {
 		how := end
 		if n > 0 && end == job.EndFailed {
-			how = job.EndBroken
+			how = job.EndGangBroken
 		}
 		if end == job.EndDone {
-			w.done[name] = true
+			w.completedTasks[name] = true
 		}
 		members[name].end(name, how)
 	}
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -18,9 +18,9 @@
 
 // crashReport reports a new life of a worker after one that crashed under the first run of the job's task.
 func crashReport(number uint64, run int) link.Report {
-	r := reportOf("i2")
+	r := testReport("i2")
 	r.Crashes = []link.Crash{{Number: number, Instance: "i1", Runs: []link.CrashedRun{
-		{Run: link.NewRun(job.TaskID{Job: lateJob}, run), Answered: true},
+		{Run: link.NewRun(job.TaskID{Job: testJob}, run), Answered: true},
 	}}}
 	return r
 }
@@ -29,60 +29,60 @@
 func TestCrashIsAcknowledgedOnceItIsCommitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
-		lead := placedTerm(t, store, a)
-		answer, err := lead.report(mailbox{a}, crashReport(7, 1))
+		lead := termWithPlacedTask(t, store, a)
+		answer, err := lead.report(fakeSession{a}, crashReport(7, 1))
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Crashes, uint64(0), "nothing is committed yet")
-		work(t, lead)
-		answer, err = lead.report(mailbox{a}, crashReport(7, 1))
+		assert.Equal(t, answer.AcknowledgedCrashes, uint64(0), "nothing is committed yet")
+		runCycle(t, lead)
+		answer, err = lead.report(fakeSession{a}, crashReport(7, 1))
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Crashes, uint64(7))
-		task := job.TaskID{Job: lateJob}
-		assert.Equal(t, lead.jobs[lateJob].job.Suspicion(task).Crashes(), 1)
+		assert.Equal(t, answer.AcknowledgedCrashes, uint64(7))
+		task := job.TaskID{Job: testJob}
+		assert.Equal(t, lead.jobs[testJob].job.Suspicion(task).LikelyCrashes(), 1)
 		store.Revoke()
-		next, err := entryOf("f", store).stand(t.Context())
+		next, err := newTestEntry("f", store).tryAcquire(t.Context())
 		assert.NilError(t, err)
 		assert.NilError(t, next.load(t.Context()))
 		again := crashReport(7, 1)
 		again.Epoch = next.epoch
-		_, err = next.report(mailbox{a}, again)
+		_, err = next.report(fakeSession{a}, again)
 		assert.NilError(t, err)
-		assert.Equal(t, next.jobs[lateJob].job.Suspicion(task).Crashes(), 1, "known from the store and not counted again")
-		work(t, next)
+		assert.Equal(t, next.jobs[testJob].job.Suspicion(task).LikelyCrashes(), 1, "known from the store and not counted again")
+		runCycle(t, next)
 	})
 }
 
-// TestSecondCrashAloneGivesTheJobUp failed with the job running and its task placed once more.
-func TestSecondCrashAloneGivesTheJobUp(t *testing.T) {
+// TestSecondCrashAloneFailsTheJob failed with the job running and its task placed once more.
+func TestSecondCrashAloneFailsTheJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		lead := placedTerm(t, kvtest.New(), a)
-		_, err := lead.report(mailbox{a}, crashReport(1, 1))
+		lead := termWithPlacedTask(t, kvtest.New(), a)
+		_, err := lead.report(fakeSession{a}, crashReport(1, 1))
 		assert.NilError(t, err)
-		work(t, lead)
-		assert.Equal(t, lead.jobs[lateJob].job.State(), job.Running)
+		runCycle(t, lead)
+		assert.Equal(t, lead.jobs[testJob].job.State(), job.Running)
 		r := crashReport(2, 2)
 		r.Instance = "i3"
-		_, err = lead.report(mailbox{a}, r)
+		_, err = lead.report(fakeSession{a}, r)
 		assert.NilError(t, err)
-		work(t, lead)
-		assert.Equal(t, lead.jobs[lateJob].job.State(), job.Failed)
+		runCycle(t, lead)
+		assert.Equal(t, lead.jobs[testJob].job.State(), job.Failed)
 		assert.Equal(t, len(lead.hosts.get(job.Host{VM: "vm", Incarnation: incarnation.New("i3", 0)}).runs), 0)
 	})
 }
 
-// TestCrashThatIsToldLateCountsForTheOthers failed with nobody held responsible: a task that lay in the worker had crashed another one
+// TestCrashReportedLateCountsForOtherSuspects failed with nobody held responsible: a task that lay in the worker had crashed another one
 // since, and what was counted for that run was taken for the same crash.
-func TestCrashThatIsToldLateCountsForTheOthers(t *testing.T) {
+func TestCrashReportedLateCountsForOtherSuspects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lead := testTerm(t, kvtest.New())
 		spec := job.Spec{Steps: []job.Step{{Count: 2}}}
-		known := newTracked(job.New(lateJob, spec, job.Queue{Service: testService}, time.Now()))
-		lead.jobs[lateJob] = known
-		first, second := job.TaskID{Job: lateJob}, job.TaskID{Job: lateJob, Index: 1}
+		known := newTracked(job.New(testJob, spec, job.Queue{Service: testService}, time.Now()))
+		lead.jobs[testJob] = known
+		first, second := job.TaskID{Job: testJob}, job.TaskID{Job: testJob, Index: 1}
 		for range 2 {
 			known.job.Place(first, job.Host{}, 0)
-			known.job.Ended(first, known.job.Task(first).Run(), job.EndLapsed, "")
+			known.job.RecordEnd(first, known.job.Task(first).Run(), job.EndLapsed, "")
 		}
 		known.job.Place(second, job.Host{}, 0)
 		under := func(runs ...link.Run) link.Crash {
@@ -92,78 +92,78 @@
 			}
 			return c
 		}
-		concerned := make(map[*tracked]bool)
-		lead.takeCrashes(&agent{vm: "a"}, link.Report{Crashes: []link.Crash{under(link.NewRun(first, 2))}}, concerned)
-		lead.takeCrashes(&agent{vm: "b"}, link.Report{Crashes: []link.Crash{under(link.NewRun(first, 1), link.NewRun(second, 1))}}, concerned)
-		assert.Equal(t, known.job.Suspicion(first).Weight(), 1)
-		assert.Equal(t, known.job.Suspicion(second).Weight(), 1)
+		concerned := make(map[*trackedJob]bool)
+		lead.recordCrashes(&agent{vm: "a"}, link.Report{Crashes: []link.Crash{under(link.NewRun(first, 2))}}, concerned)
+		lead.recordCrashes(&agent{vm: "b"}, link.Report{Crashes: []link.Crash{under(link.NewRun(first, 1), link.NewRun(second, 1))}}, concerned)
+		assert.Equal(t, known.job.Suspicion(first).Score(), 1)
+		assert.Equal(t, known.job.Suspicion(second).Score(), 1)
 	})
 }
 
-// TestWorkersThatCrashAtOneMomentHaveACauseInCommon: what had just begun there does not wait for a worker of its own.
-func TestWorkersThatCrashAtOneMomentHaveACauseInCommon(t *testing.T) {
+// TestSimultaneousCrashesHaveACommonCause: what had just begun there does not wait for a worker of its own.
+func TestSimultaneousCrashesHaveACommonCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for others, crashes := range map[int]int{leastOthers - 1: 1, leastOthers: 0} {
+		for others, crashes := range map[int]int{minSimultaneous - 1: 1, minSimultaneous: 0} {
 			a := &fakeAgent{vm: "vm"}
-			lead := placedTerm(t, kvtest.New(), a)
+			lead := termWithPlacedTask(t, kvtest.New(), a)
 			for n := range others + 1 {
-				silent := reportOf("i1")
-				silent.VM, silent.Silent, silent.BrokenMillis = fmt.Sprint(n), true, 1000
+				silent := testReport("i1")
+				silent.VM, silent.Silent, silent.FirstFailureMillis = fmt.Sprint(n), true, 1000
 				if n == others {
-					silent.BrokenMillis = 1000 + 2*sameMoment.Milliseconds()
+					silent.FirstFailureMillis = 1000 + 2*simultaneousWindow.Milliseconds()
 				}
-				_, err := lead.report(mailbox{&fakeAgent{vm: silent.VM}}, silent)
+				_, err := lead.report(fakeSession{&fakeAgent{vm: silent.VM}}, silent)
 				assert.NilError(t, err)
 			}
 			r := crashReport(1, 1)
-			r.Crashes[0].BrokenMillis = 1000
-			_, err := lead.report(mailbox{a}, r)
+			r.Crashes[0].FirstFailureMillis = 1000
+			_, err := lead.report(fakeSession{a}, r)
 			assert.NilError(t, err)
-			held := lead.jobs[lateJob].job.Suspicion(job.TaskID{Job: lateJob})
-			assert.Equal(t, held.Crashes(), crashes)
-			assert.Equal(t, held.Doubts(), 1-crashes)
-			work(t, lead)
+			held := lead.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob})
+			assert.Equal(t, held.LikelyCrashes(), crashes)
+			assert.Equal(t, held.PossibleCrashes(), 1-crashes)
+			runCycle(t, lead)
 		}
 	})
 }
 
-// TestSuspectsWaitForAWorkerOfTheirOwnNotForLong: then they start as all others do.
-func TestSuspectsWaitForAWorkerOfTheirOwnNotForLong(t *testing.T) {
+// TestSuspectsWaitForTheirOwnWorkerForABoundedTime: then they start as all others do.
+func TestSuspectsWaitForTheirOwnWorkerForABoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		known := newTracked(job.New(lateJob, job.Spec{Steps: []job.Step{{Count: 3}}}, job.Queue{}, time.Now()))
-		task := job.TaskID{Job: lateJob, Index: 1}
+		known := newTracked(job.New(testJob, job.Spec{Steps: []job.Step{{Count: 3}}}, job.Queue{}, time.Now()))
+		task := job.TaskID{Job: testJob, Index: 1}
 		known.job.Place(task, job.Host{}, 0)
-		known.job.Ended(task, 1, job.EndLapsed, "")
-		assert.Assert(t, known.job.Crashed(task, 1, crash.NewFinding(crash.Likely, false)))
+		known.job.RecordEnd(task, 1, job.EndLapsed, "")
+		assert.Assert(t, known.job.RecordCrash(task, 1, crash.NewFinding(crash.LikelyCause, false)))
 		others, suspects, weight := known.splitSuspects(task, []int{0, 1, 2}, time.Now())
 		assert.DeepEqual(t, others, []int{0, 2})
 		assert.DeepEqual(t, suspects, []int{1})
 		assert.Equal(t, weight, 1)
-		time.Sleep(suspectPatience)
+		time.Sleep(maxSuspectWait)
 		others, suspects, _ = known.splitSuspects(task, []int{0, 1, 2}, time.Now())
 		assert.Equal(t, len(others), 3)
 		assert.Equal(t, len(suspects), 0)
 	})
 }
 
-// TestStrangersAreNotKeptForSuspects failed with the stranger kept, on which nothing serves, and none of the workers that the suspect may
+// TestWorkersOfOtherServicesAreNotReservedForSuspects failed with the stranger kept, on which nothing serves, and none of the workers that the suspect may
 // start on: it waited for a worker of its own until its patience was over.
-func TestStrangersAreNotKeptForSuspects(t *testing.T) {
-	stranger := &plan.Worker{Open: true, Service: "other"}
-	workers := []*plan.Worker{stranger, {Open: true, Service: testService, Serving: 2}, {Open: true, Service: testService, Serving: 1}}
-	keepForSuspects(workers, []*plan.Group{{Service: testService, Indexes: []int{0}, Suspect: 1}})
-	assert.Assert(t, !stranger.Kept && !workers[1].Kept)
-	assert.Assert(t, workers[2].Kept)
+func TestWorkersOfOtherServicesAreNotReservedForSuspects(t *testing.T) {
+	stranger := &plan.Worker{Schedulable: true, Service: "other"}
+	workers := []*plan.Worker{stranger, {Schedulable: true, Service: testService, ServingCPU: 2}, {Schedulable: true, Service: testService, ServingCPU: 1}}
+	reserveForSuspects(workers, []*plan.Group{{Service: testService, Indexes: []int{0}, SuspectScore: 1}})
+	assert.Assert(t, !stranger.ReservedForSuspect && !workers[1].ReservedForSuspect)
+	assert.Assert(t, workers[2].ReservedForSuspect)
 }
 
-// TestHalfOfTheWorkersAreKeptForSuspectsAtMost, those first on which least serves.
-func TestHalfOfTheWorkersAreKeptForSuspectsAtMost(t *testing.T) {
-	workers := []*plan.Worker{{Open: true, Serving: 3}, {Open: true, Serving: 1}, {Open: true, Serving: 2}, {Open: true}, {}}
-	keepForSuspects(workers, []*plan.Group{{Indexes: []int{0, 1, 2}}})
+// TestAtMostHalfOfTheWorkersAreReservedForSuspects, those first on which least serves.
+func TestAtMostHalfOfTheWorkersAreReservedForSuspects(t *testing.T) {
+	workers := []*plan.Worker{{Schedulable: true, ServingCPU: 3}, {Schedulable: true, ServingCPU: 1}, {Schedulable: true, ServingCPU: 2}, {Schedulable: true}, {}}
+	reserveForSuspects(workers, []*plan.Group{{Indexes: []int{0, 1, 2}}})
 	for _, w := range workers {
-		assert.Assert(t, !w.Kept, "no suspect waits")
+		assert.Assert(t, !w.ReservedForSuspect, "no suspect waits")
 	}
-	keepForSuspects(workers, []*plan.Group{{Indexes: []int{0, 1, 2}, Suspect: 1}})
-	assert.Assert(t, workers[1].Kept && workers[3].Kept)
-	assert.Assert(t, !workers[0].Kept && !workers[2].Kept && !workers[4].Kept)
+	reserveForSuspects(workers, []*plan.Group{{Indexes: []int{0, 1, 2}, SuspectScore: 1}})
+	assert.Assert(t, workers[1].ReservedForSuspect && workers[3].ReservedForSuspect)
+	assert.Assert(t, !workers[0].ReservedForSuspect && !workers[2].ReservedForSuspect && !workers[4].ReservedForSuspect)
 }
--- a/internal/dispatch/cycle.go
+++ b/internal/dispatch/cycle.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// retryFirst and retryLast bound the pause before a commit is repeated.
-	retryFirst = 15 * time.Millisecond
-	retryLast  = 250 * time.Millisecond
+	// minCommitRetryDelay and retryLast bound the pause before a commit is repeated.
+	minCommitRetryDelay = 15 * time.Millisecond
+	maxCommitRetryDelay = 250 * time.Millisecond
 )
 
-// decide gives up what is lost and places what waits.
-func (t *term) decide() {
+// schedule gives up what is lost and places what waits.
+func (t *term) schedule() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.expire()
-	t.unstick()
-	t.moveFromLeaving()
-	t.plan()
+	t.expireWorkers()
+	t.stopStalled()
+	t.moveFromDraining()
+	t.placeTasks()
 }
 
-// settle commits what one transaction holds of what changed, and sends the orders that the commit allows.
-func (t *term) settle(ctx context.Context) error {
+// commitChanges commits what one transaction holds of what changed, and sends the orders that the commit allows.
+func (t *term) commitChanges(ctx context.Context) error {
 	t.mu.Lock()
-	b, err := t.batch()
+	b, err := t.nextBatch()
 	t.mu.Unlock()
 	if err != nil {
 		return err
@@ -41,11 +41,11 @@
 		}
 	}
 	t.flush()
-	return t.prove(ctx)
+	return t.verifyLeadership(ctx)
 }
 
-// settled reports whether all that changed is committed.
-func (t *term) settled() bool {
+// allCommitted reports whether all that changed is committed.
+func (t *term) allCommitted() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.dirty) == 0
@@ -53,43 +53,43 @@
 
 // commit writes the batch, however often it takes, and then lets its runs start.
 func (t *term) commit(ctx context.Context, b *batch) error {
-	pause := retryFirst
-	patience := t.patience.First()
+	pause := minCommitRetryDelay
+	patience := t.commitTimeouts.First()
 	for {
 		asked, began := time.Now(), t.now()
-		revision, err := t.commitOnce(ctx, b.change, patience)
+		revision, err := t.commitOnce(ctx, b.txn, patience)
 		if fault.Is(err, fault.Conflict) {
-			revision, err = t.landed(ctx, t.commits+1)
+			revision, err = t.committedRevision(ctx, t.commitCount+1)
 		}
-		patience = t.patience.Longer(patience)
-		t.tellEntries()
+		patience = t.commitTimeouts.Extend(patience)
+		t.notifyEntries()
 		if err == nil {
-			t.patience.Answered(time.Since(asked))
-			t.committedBatch(b, revision, began)
+			t.commitTimeouts.Observe(time.Since(asked))
+			t.applyCommit(b, revision, began)
 			return nil
 		}
 		if fault.Is(err, fault.Stale) || ctx.Err() != nil {
 			return err
 		}
-		t.logger.Warn("a commit is repeated; commit=%d records=%d reason=%v", t.commits+1, len(b.versions), err)
+		t.logger.Warn("a commit is repeated; commit=%d records=%d reason=%v", t.commitCount+1, len(b.versions), err)
 		if fault.Is(err, fault.NotFound) {
 			return fault.Wrap(err, fault.Stale, "the lease of the lead is over")
 		}
 		select {
 		case <-ctx.Done():
-		case <-t.proven:
-			pause, patience = retryFirst, t.patience.First()
+		case <-t.storeAnswered:
+			pause, patience = minCommitRetryDelay, t.commitTimeouts.First()
 		case <-time.After(pause):
-			pause = min(2*pause, retryLast)
+			pause = min(2*pause, maxCommitRetryDelay)
 		}
 	}
 }
 
 const (
-	// patienceFirst and patienceLast bound how long an attempt to commit waits for its answer; a commit is safe to repeat,
+	// minCommitTimeout and patienceLast bound how long an attempt to commit waits for its answer; a commit is safe to repeat,
 	// and one whose answer is lost holds all placements up.
-	patienceFirst = 120 * time.Millisecond
-	patienceLast  = 900 * time.Millisecond
+	minCommitTimeout = 120 * time.Millisecond
+	maxCommitTimeout = 900 * time.Millisecond
 )
 
 // commitOnce attempts a commit with bounded patience.
@@ -99,57 +99,57 @@
 	return t.store.Commit(bounded, change)
 }
 
-// committedBatch takes note of what the store has now.
-func (t *term) committedBatch(b *batch, revision kv.Revision, began boottime.Instant) {
+// applyCommit takes note of what the store has now.
+func (t *term) applyCommit(b *batch, revision kv.Revision, began boottime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.chain, t.verified = revision, began
-	t.commits++
-	if b.relock {
-		t.relock = false
+	t.chainRevision, t.verifiedAt = revision, began
+	t.commitCount++
+	if b.reacquire {
+		t.leaseReplaced = false
 	}
 	for known, version := range b.versions {
-		known.saved = max(known.saved, version)
+		known.savedVersion = max(known.savedVersion, version)
 	}
 	for _, id := range b.removed {
-		maps.DeleteFunc(t.advised, func(s stepID, _ *advice) bool { return s.job == id })
+		maps.DeleteFunc(t.advice, func(s stepID, _ *advice) bool { return s.job == id })
 		delete(t.jobs, id)
 	}
 	for _, r := range b.runs {
-		t.release(r)
+		t.startCommitted(r)
 	}
 	close(t.committed)
 	t.committed = make(chan struct{})
 }
 
-// release orders a run that is committed, or takes it back where its job has ended or its hall was closed meanwhile.
-func (t *term) release(r batchedRun) {
+// startCommitted orders a run that is committed, or takes it back where its job has ended or its hall was closed meanwhile.
+func (t *term) startCommitted(r batchedRun) {
 	h := t.hosts.get(r.host)
-	if h == nil || h.runs[r.id] == nil || h.runs[r.id].run != r.run {
+	if h == nil || h.runs[r.id] == nil || h.runs[r.id].number != r.run {
 		return
 	}
 	p := h.runs[r.id]
-	p.committed, p.moved = true, time.Now()
-	if !p.stopping && !t.closed(r.host) {
+	p.committed, p.progressedAt = true, time.Now()
+	if !p.stopping && !t.hallClosed(r.host) {
 		t.orderStart(r.host, r.id, p)
 		return
 	}
-	h.remove(r.id, r.run)
+	h.removeRun(r.id, r.run)
 	if known := t.jobs[r.id.Job]; known != nil && known.job.Unplace(r.id, r.run) {
-		t.touch(known)
+		t.markDirty(known)
 	}
 }
 
-// prove confirms that the term still stands where no commit did of late.
-func (t *term) prove(ctx context.Context) error {
+// verifyLeadership confirms that the term still stands where no commit did of late.
+func (t *term) verifyLeadership(ctx context.Context) error {
 	t.mu.Lock()
-	chain, age := t.chain, t.age()
+	chain, age := t.chainRevision, t.verificationAge()
 	t.mu.Unlock()
-	if age < proveEvery {
+	if age < verifyInterval {
 		return nil
 	}
 	began := t.now()
-	item, err := t.store.Get(ctx, record.ChainKey)
+	item, err := t.store.Get(ctx, record.LastCommitKey)
 	if err != nil {
 		t.logger.Warn("the lead could not be confirmed: %v", err)
 		return nil
@@ -159,6 +159,6 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.verified = began
+	t.verifiedAt = began
 	return nil
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -25,8 +25,8 @@
 	Newest() *policy.Policy
 	// Offer returns the configuration as the store holds it.
 	Offer() link.Offer
-	// Take keeps an offer unless a newer one is known.
-	Take(offer link.Offer)
+	// Accept keeps an offer unless a newer one is known.
+	Accept(offer link.Offer)
 }
 
 // Config holds what a dispatcher needs.
@@ -39,7 +39,7 @@
 	Store    kv.Store
 	// Health is what the process knows of its way to the store.
 	Health   *kv.Health
-	Lead     *follow.Follower[record.Lead]
+	Leader   *follow.Follower[record.Leader]
 	Policies Policies
 	// Closures are the halls that the operators have closed.
 	Closures *hall.Closures
@@ -53,21 +53,21 @@
 
 // Dispatcher leads whenever its process holds the lead.
 type Dispatcher struct {
-	config Config
-	logger logging.Logger
-	term   atomic.Pointer[term]
-	done   chan struct{}
-	rest   atomic.Int64
-	// suspected is the lead that this entry may replace before its lease ends.
-	suspected atomic.Pointer[suspicion]
-	suspects  chan struct{}
-	// ranked is the place of this entry among those that may lead next, as a leader told it last.
-	ranked atomic.Pointer[ranking]
+	config       Config
+	logger       logging.Logger
+	term         atomic.Pointer[term]
+	done         chan struct{}
+	backoffUntil atomic.Int64
+	// suspectedLeader is the lead that this entry may replace before its lease ends.
+	suspectedLeader  atomic.Pointer[suspectedLeader]
+	suspicionChanged chan struct{}
+	// ranking is the place of this entry among those that may lead next, as a leader told it last.
+	ranking atomic.Pointer[ranking]
 }
 
 // New returns a dispatcher that does not lead yet.
 func New(config Config) *Dispatcher {
-	d := &Dispatcher{config: config, logger: config.Logger, done: make(chan struct{}), suspects: make(chan struct{}, 1)}
+	d := &Dispatcher{config: config, logger: config.Logger, done: make(chan struct{}), suspicionChanged: make(chan struct{}, 1)}
 	d.registerClosures()
 	return d
 }
@@ -75,8 +75,8 @@
 // Done returns the channel that is closed when Run has ended.
 func (d *Dispatcher) Done() <-chan struct{} { return d.done }
 
-// Leads reports whether this entry leads.
-func (d *Dispatcher) Leads() bool { return d.term.Load() != nil }
+// IsLeader reports whether this entry leads.
+func (d *Dispatcher) IsLeader() bool { return d.term.Load() != nil }
 
 // Register adds the dispatcher's methods to a mux.
 func (d *Dispatcher) Register(m *rpc.Mux) {
@@ -94,18 +94,18 @@
 		if err != nil {
 			if ctx.Err() == nil {
 				d.logger.Warn("the lead was not won: %v", err)
-				wait.For(ctx, campaignPause)
+				wait.For(ctx, campaignRetryDelay)
 			}
 			continue
 		}
-		d.lead(ctx, t)
+		d.serveTerm(ctx, t)
 	}
 }
 
-func (d *Dispatcher) lead(ctx context.Context, t *term) {
+func (d *Dispatcher) serveTerm(ctx context.Context, t *term) {
 	d.config.Metrics.Counter("lead.terms").Inc(1)
 	err := t.run(ctx, func() {
-		d.logger.Info("lead taken; epoch=%d jobs=%d load_ms=%d", t.epoch, len(t.jobs), time.Since(t.started).Milliseconds())
+		d.logger.Info("lead taken; epoch=%d jobs=%d load_ms=%d", t.epoch, len(t.jobs), time.Since(t.startedAt).Milliseconds())
 		d.term.Store(t)
 	})
 	d.term.Store(nil)
@@ -116,7 +116,7 @@
 	}
 }
 
-func (d *Dispatcher) current() (*term, error) {
+func (d *Dispatcher) currentTerm() (*term, error) {
 	t := d.term.Load()
 	if t == nil {
 		return nil, fault.New(fault.Stale, "this entry does not lead")
@@ -125,7 +125,7 @@
 }
 
 func (d *Dispatcher) report(_ context.Context, p *rpc.Peer, r link.Report) (link.ReportAnswer, error) {
-	t, err := d.current()
+	t, err := d.currentTerm()
 	if err != nil {
 		return link.ReportAnswer{}, err
 	}
@@ -138,25 +138,25 @@
 }
 
 func (d *Dispatcher) ping(_ context.Context, peer *rpc.Peer, p link.Ping) (link.PingAnswer, error) {
-	d.config.Policies.Take(p.Offer)
-	t, err := d.current()
+	d.config.Policies.Accept(p.Offer)
+	t, err := d.currentTerm()
 	if err != nil {
 		return link.PingAnswer{}, err
 	}
 	answer := t.recordPing(p, peer)
-	switch t.judge(p) {
-	case storeAway:
+	switch t.assessStore(p) {
+	case storeUnavailable:
 		answer.StoreDown = true
-	case storeElsewhere:
-		answer.Succeed = true
+	case storeReachableByOthers:
+		answer.TakeOver = true
 		t.yield(p.Entry, "the store answers others and not this lead")
-	case storeWell:
+	case storeReachable:
 		switch {
 		case !t.outranks(p):
-		case !storeAnsweredLately(p):
+		case !storeAnsweredRecently(p):
 			answer.Probe = true
 		default:
-			answer.Succeed = true
+			answer.TakeOver = true
 			t.yield(p.Entry, "it is far stronger")
 		}
 	}
@@ -170,9 +170,9 @@
 }
 
 func (d *Dispatcher) waiting(_ context.Context, _ *rpc.Peer, w link.Waiting) (link.WaitingAnswer, error) {
-	t, err := d.current()
+	t, err := d.currentTerm()
 	if err != nil {
 		return link.WaitingAnswer{}, err
 	}
-	return link.WaitingAnswer{Count: t.waiting(w.Queue)}, nil
+	return link.WaitingAnswer{Count: t.queuedJobs(w.Queue)}, nil
 }
--- a/internal/dispatch/entries.go
+++ b/internal/dispatch/entries.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// tellPatience bounds how long an entry may take to answer; its next ping tells it as well.
-	tellPatience = 500 * time.Millisecond
-	// refreshEvery lies between two looks at which entries ping no more, and at their order.
-	refreshEvery = time.Second
-	// mostNamed is how many entries one process is told: enough to reach some of them after any loss, whatever the size of the fleet.
-	mostNamed = 32
+	// notifyTimeout bounds how long an entry may take to answer; its next ping tells it as well.
+	notifyTimeout = 500 * time.Millisecond
+	// rosterRefreshInterval lies between two looks at which entries ping no more, and at their order.
+	rosterRefreshInterval = time.Second
+	// maxEntriesSent is how many entries one process is told: enough to reach some of them after any loss, whatever the size of the fleet.
+	maxEntriesSent = 32
 )
 
 // entry is an entry as its latest ping tells.
@@ -33,14 +33,14 @@
 // roster holds the entries that ping the leader, and numbers each version of their list from 1.
 type roster struct {
 	entries map[string]*entry
-	// list has the addresses of the leader and of the entries, in order.
-	list      []string
-	number    uint64
+	// addresses has the addresses of the leader and of the entries, in order.
+	addresses []string
+	version   uint64
 	refreshed time.Time
 }
 
 func newRoster(self string) *roster {
-	return &roster{entries: make(map[string]*entry), list: []string{self}, number: 1}
+	return &roster{entries: make(map[string]*entry), addresses: []string{self}, version: 1}
 }
 
 // record stores that an entry of a strength has just pinged, and returns it.
@@ -49,9 +49,9 @@
 	if e == nil {
 		e = &entry{}
 		r.entries[address] = e
-		if at, listed := slices.BinarySearch(r.list, address); !listed {
-			r.list = slices.Insert(r.list, at, address)
-			r.number++
+		if at, listed := slices.BinarySearch(r.addresses, address); !listed {
+			r.addresses = slices.Insert(r.addresses, at, address)
+			r.version++
 		}
 	}
 	e.lastPing, e.peer, e.strength = now, peer, strength
@@ -86,42 +86,42 @@
 
 // refresh removes the entries whose last ping is older than trust and ranks the others, at most once in refreshEvery.
 func (r *roster) refresh(self string, epoch uint64, now time.Time) {
-	if now.Sub(r.refreshed) < refreshEvery {
+	if now.Sub(r.refreshed) < rosterRefreshInterval {
 		return
 	}
 	r.refreshed = now
 	defer r.rank(epoch)
 	for address, e := range r.entries {
-		if now.Sub(e.lastPing) < trust {
+		if now.Sub(e.lastPing) < leaderTimeout {
 			continue
 		}
 		delete(r.entries, address)
-		if at, listed := slices.BinarySearch(r.list, address); listed && address != self {
-			r.list = slices.Delete(r.list, at, at+1)
-			r.number++
+		if at, listed := slices.BinarySearch(r.addresses, address); listed && address != self {
+			r.addresses = slices.Delete(r.addresses, at, at+1)
+			r.version++
 		}
 	}
 }
 
-// namedFor returns the addresses for a process that has a version of the list, nil where that is the latest, and the number of the latest. The
+// addressesFor returns the addresses for a process that has a version of the list, nil where that is the latest, and the number of the latest. The
 // list hardly ever changes, and would be most of each answer.
-func (r *roster) namedFor(process string, has uint64) ([]string, uint64) {
-	if has == r.number {
+func (r *roster) addressesFor(process string, has uint64) ([]string, uint64) {
+	if has == r.version {
 		return nil, has
 	}
-	return sampleOf(r.list, process), r.number
+	return sampleOf(r.addresses, process), r.version
 }
 
 // sampleOf returns at most mostNamed addresses, a stable sample that differs from process to process.
 func sampleOf(list []string, process string) []string {
-	if len(list) <= mostNamed {
+	if len(list) <= maxEntriesSent {
 		return slices.Clone(list)
 	}
 	weights := make(map[string]uint64, len(list))
 	for _, address := range list {
 		weights[address] = hashOf(process, address)
 	}
-	sample := slices.SortedFunc(slices.Values(list), func(a, b string) int { return cmp.Compare(weights[a], weights[b]) })[:mostNamed]
+	sample := slices.SortedFunc(slices.Values(list), func(a, b string) int { return cmp.Compare(weights[a], weights[b]) })[:maxEntriesSent]
 	slices.Sort(sample)
 	return sample
 }
@@ -131,7 +131,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.roster.record(p.Address, p.Strength, peer, time.Now())
-	answer := link.PingAnswer{Agents: len(t.agents), Doubtful: t.age() > doubtAfter}
+	answer := link.PingAnswer{Agents: len(t.agents), Unverified: t.verificationAge() > staleVerificationAfter}
 	answer.Entries, answer.List = t.entriesFor(p.Entry, p.List)
 	answer.Rank = e.rank
 	return answer
@@ -139,30 +139,30 @@
 
 // entriesFor returns the entries that a process is told, see roster.namedFor.
 func (t *term) entriesFor(process string, has uint64) ([]string, uint64) {
-	t.roster.refresh(t.d.config.Address, t.epoch, time.Now())
-	return t.roster.namedFor(process, has)
+	t.roster.refresh(t.dispatcher.config.Address, t.epoch, time.Now())
+	return t.roster.addressesFor(process, has)
 }
 
-// tellEntries tells all entries at once when the store goes away, or is back; each then pings to learn more.
-func (t *term) tellEntries() {
-	away := t.d.config.Health.Down()
-	if away == t.toldAway {
+// notifyEntries tells all entries at once when the store goes away, or is back; each then pings to learn more.
+func (t *term) notifyEntries() {
+	away := t.dispatcher.config.Health.Down()
+	if away == t.notifiedStoreDown {
 		return
 	}
-	t.toldAway = away
+	t.notifiedStoreDown = away
 	t.logger.Warn("the entries are told of the store; away=%t", away)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.roster.entries {
-		if e.peer != nil && time.Since(e.lastPing) < trust {
-			go tell(e.peer)
+		if e.peer != nil && time.Since(e.lastPing) < leaderTimeout {
+			go notifyEntry(e.peer)
 		}
 	}
 }
 
-// tell wakes an entry; one that cannot be reached learns the same by its own calls.
-func tell(peer *rpc.Peer) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellPatience)
+// notifyEntry wakes an entry; one that cannot be reached learns the same by its own calls.
+func notifyEntry(peer *rpc.Peer) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	_, _ = rpc.Call[link.Empty, link.Empty](ctx, peer, link.MethodStore, link.Empty{})
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -23,22 +23,22 @@
 
 // cycle is one turn of the work of a lead, until all is committed.
 func cycle(ctx context.Context, t *term) error {
-	t.decide()
+	t.schedule()
 	for {
-		if err := t.settle(ctx); err != nil || t.settled() {
+		if err := t.commitChanges(ctx); err != nil || t.allCommitted() {
 			return err
 		}
 	}
 }
 
-// entryOf returns an entry that may lead.
-func entryOf(name string, store kv.Store) *Dispatcher {
+// newTestEntry returns an entry that may lead.
+func newTestEntry(name string, store kv.Store) *Dispatcher {
 	clock := &boottimetest.Clock{}
 	return New(Config{
 		Uptime: clock, Node: name, Boot: name, Address: name, Strength: 1, Store: store, Health: &kv.Health{}, Policies: noPolicies{},
 		Closures: hall.New(store, testClosures, testClosedWithin, clock, logging.Discard()),
 		Logger:   logging.Discard(), Metrics: metric.New(),
-		Lead: follow.New(store, record.LeadKey, record.DecodeLead, logging.Discard()),
+		Leader: follow.New(store, record.LeaderKey, record.DecodeLeader, logging.Discard()),
 	})
 }
 
@@ -51,7 +51,7 @@
 
 func (noPolicies) Newest() *policy.Policy { return nil }
 func (noPolicies) Offer() link.Offer      { return link.Offer{} }
-func (noPolicies) Take(link.Offer)        {}
+func (noPolicies) Accept(link.Offer)      {}
 
 // fakeWorker judges what it is told like the platform's worker, and notes what must never happen.
 type fakeWorker struct {
@@ -62,9 +62,9 @@
 	latest   map[string]int
 	ended    []link.Ended
 	sequence uint64
-	// held is until when the worker was held, lapsed the last end before a time at which it was not.
-	held   time.Time
-	lapsed uint64
+	// leaseEnd is until when the worker was leaseEnd, lapsed the last end before a time at which it was not.
+	leaseEnd time.Time
+	lapsed   uint64
 }
 
 type fakeRun struct {
@@ -77,104 +77,104 @@
 type fakeAgent struct {
 	vm   string
 	hall string
-	// latest is what it was told of its hall last, told up to when the lead surely had told all, followed when it found its lead.
-	latest   link.Hall
-	told     time.Time
-	followed time.Time
+	// latestHall is what it was told of its hall last, told up to when the lead surely had told all, followed when it found its lead.
+	latestHall      link.Hall
+	hallConfirmedAt time.Time
+	connectedAt     time.Time
 	// session is the number of its connection to the lead.
-	session   uint64
-	epoch     uint64
-	permitted time.Time
-	seen      uint64
-	mail      []link.Orders
+	session       uint64
+	epoch         uint64
+	leaseEnd      time.Time
+	seen          uint64
+	pendingOrders []link.Orders
 	// known is the incarnation that the agent takes for the present one; worker is the one that is, and may have started again unnoticed.
 	known incarnation.ID
 	// listed are the runs that the known incarnation has shown.
-	listed   map[link.Run]bool
-	worker   *fakeWorker
-	lives    int
-	rejected []link.Rejected
-	// dead is the highest run of each task that the agent refused.
-	dead map[string]int
+	listed       map[link.Run]bool
+	worker       *fakeWorker
+	incarnations int
+	rejected     []link.Rejected
+	// refusedRuns is the highest run of each task that the agent refused.
+	refusedRuns map[string]int
 }
 
-// mailbox is the session between a lead and an agent.
-type mailbox struct{ agent *fakeAgent }
+// fakeSession is the session between a lead and an agent.
+type fakeSession struct{ agent *fakeAgent }
 
-func (m mailbox) number() uint64 { return m.agent.session }
+func (m fakeSession) number() uint64 { return m.agent.session }
 
-func (m mailbox) send(orders link.Orders) error {
-	m.agent.mail = append(m.agent.mail, orders)
+func (m fakeSession) send(orders link.Orders) error {
+	m.agent.pendingOrders = append(m.agent.pendingOrders, orders)
 	return nil
 }
 
-func (m mailbox) close() {}
+func (m fakeSession) close() {}
 
-// births is when the workers' clocks begin: times of birth lie after it, or before it where the clock has stepped back.
-const births = 1_000_000
+// clockStart is when the workers' clocks begin: times of birth lie after it, or before it where the clock has stepped back.
+const clockStart = 1_000_000
 
-// revive gives the worker another incarnation, under an id of its own, that reports its birth or not.
-func (a *fakeAgent) revive(reports bool) {
-	a.lives++
+// replaceWorker gives the worker another incarnation, under an id of its own, that reports its birth or not.
+func (a *fakeAgent) replaceWorker(reports bool) {
+	a.incarnations++
 	born := int64(0)
 	if reports {
-		born = births + int64(a.lives)
+		born = clockStart + int64(a.incarnations)
 	}
-	a.become(incarnation.New(fmt.Sprintf("%s-%d", a.vm, a.lives), born))
-	a.notice()
+	a.setWorker(incarnation.New(fmt.Sprintf("%s-%d", a.vm, a.incarnations), born))
+	a.detectWorker()
 }
 
-// startAgain gives a worker that reports births another incarnation under the id that it has, which the agent does not know before it looks.
-func (a *fakeAgent) startAgain(stepsBack bool) {
-	if a.worker.id.Born() == 0 {
-		a.revive(true)
+// restartWorker gives a worker that reports births another incarnation under the id that it has, which the agent does not know before it looks.
+func (a *fakeAgent) restartWorker(stepsBack bool) {
+	if a.worker.id.StartMillis() == 0 {
+		a.replaceWorker(true)
 		return
 	}
-	a.lives++
-	born := births + int64(a.lives)
+	a.incarnations++
+	born := clockStart + int64(a.incarnations)
 	if stepsBack {
-		born = births - int64(a.lives)
+		born = clockStart - int64(a.incarnations)
 	}
-	a.become(incarnation.New(a.worker.id.Worker(), born))
+	a.setWorker(incarnation.New(a.worker.id.Worker(), born))
 }
 
-func (a *fakeAgent) become(id incarnation.ID) {
+func (a *fakeAgent) setWorker(id incarnation.ID) {
 	a.worker = &fakeWorker{id: id, running: make(map[string]fakeRun), latest: make(map[string]int)}
 }
 
-// notice lets the agent look which incarnation is present.
-func (a *fakeAgent) notice() {
+// detectWorker lets the agent look which incarnation is present.
+func (a *fakeAgent) detectWorker() {
 	if a.known == a.worker.id {
 		return
 	}
-	a.known, a.seen, a.rejected, a.dead = a.worker.id, 0, nil, make(map[string]int)
+	a.known, a.seen, a.rejected, a.refusedRuns = a.worker.id, 0, nil, make(map[string]int)
 	a.listed = make(map[link.Run]bool)
 }
 
-// learn takes what the lead told of the hall.
-func (a *fakeAgent) learn(told link.Hall, at time.Time) {
-	if told.Revision >= a.latest.Revision {
-		a.latest = told
+// updateHall takes what the lead told of the hall.
+func (a *fakeAgent) updateHall(told link.Hall, at time.Time) {
+	if told.Revision >= a.latestHall.Revision {
+		a.latestHall = told
 	}
-	a.told = later(a.told, at)
+	a.hallConfirmedAt = later(a.hallConfirmedAt, at)
 }
 
 // mayStart reports whether the hall is open as far as the agent was told of late.
 func (a *fakeAgent) mayStart() bool {
-	return !a.latest.Closed && time.Since(a.told) <= hall.StaleAfter(testClosedWithin)
+	return !a.latestHall.Closed && time.Since(a.hallConfirmedAt) <= hall.StaleAfter(testClosedWithin)
 }
 
-// forsake drops all orders, since the lead may have given their runs up when the permission was over.
-func (a *fakeAgent) forsake() {
-	for _, orders := range a.mail {
+// dropOrders drops all orders, since the lead may have given their runs up when the permission was over.
+func (a *fakeAgent) dropOrders() {
+	for _, orders := range a.pendingOrders {
 		for _, s := range orders.Starts {
-			a.dead[s.Task] = max(a.dead[s.Task], s.Number)
+			a.refusedRuns[s.Task] = max(a.refusedRuns[s.Task], s.Number)
 		}
 	}
-	a.mail = nil
+	a.pendingOrders = nil
 }
 
-func (f *fakeWorker) room(t *rapid.T) {
+func (f *fakeWorker) checkCapacity(t *rapid.T) {
 	var used job.Size
 	for _, run := range f.running {
 		used = used.Plus(run.size)
@@ -185,7 +185,7 @@
 }
 
 func (f *fakeWorker) expire() {
-	if !f.held.IsZero() && time.Now().After(f.held) {
+	if !f.leaseEnd.IsZero() && time.Now().After(f.leaseEnd) {
 		f.lapsed = f.sequence
 	}
 	for _, name := range sortedKeys(f.running) {
@@ -203,7 +203,7 @@
 
 func (a *fakeAgent) stop(r link.Run) {
 	a.worker.expire()
-	a.dead[r.Task] = max(a.dead[r.Task], r.Number)
+	a.refusedRuns[r.Task] = max(a.refusedRuns[r.Task], r.Number)
 	run, runs := a.worker.running[r.Task]
 	switch {
 	case runs && run.number == r.Number:
--- a/internal/dispatch/fences.go
+++ b/internal/dispatch/fences.go
@@ -8,16 +8,16 @@
 	fencesPerConnection = 1_000
 )
 
-// fences are the numbers under which an agent may call its worker.
-type fences struct{ first, last uint64 }
+// fenceRange are the numbers under which an agent may call its worker.
+type fenceRange struct{ first, last uint64 }
 
 // grantFences returns numbers for a connection, above those of all before; once they are used up, all have the epoch.
-func (t *term) grantFences() fences {
-	first := t.epoch - FencesPerEpoch + 1 + t.granted*fencesPerConnection
+func (t *term) grantFences() fenceRange {
+	first := t.epoch - FencesPerEpoch + 1 + t.fenceGrants*fencesPerConnection
 	last := first + fencesPerConnection - 1
 	if last >= t.epoch {
-		return fences{first: t.epoch, last: t.epoch}
+		return fenceRange{first: t.epoch, last: t.epoch}
 	}
-	t.granted++
-	return fences{first: first, last: last}
+	t.fenceGrants++
+	return fenceRange{first: first, last: last}
 }
--- a/internal/dispatch/groups.go
+++ b/internal/dispatch/groups.go
@@ -8,57 +8,57 @@
 )
 
 const (
-	// starvedAfter is how long nothing of a job may run before one of its tasks is placed at any cost.
-	starvedAfter = time.Second
+	// starvationDelay is how long nothing of a job may run before one of its tasks is placed at any cost.
+	starvationDelay = time.Second
 	// lateFactor times the objective is when a job earns nothing any more.
 	lateFactor = 3
 )
 
-// groups returns the waiting tasks that may start now.
-func (t *term) groups() []*plan.Group {
+// waitingGroups returns the waiting tasks that may start now.
+func (t *term) waitingGroups() []*plan.Group {
 	var groups []*plan.Group
 	now := time.Now()
 	for _, known := range t.jobs {
-		if known.job.State().Final() {
+		if known.job.State().IsFinal() {
 			continue
 		}
-		known.noteIdle(now)
-		for k := range known.job.Times() {
-			if known.job.Spec().Times > 0 && now.Before(known.job.Due(k)) {
+		known.updateIdle(now)
+		for k := range known.job.Iterations() {
+			if known.job.Spec().Iterations > 0 && now.Before(known.job.Due(k)) {
 				break
 			}
-			groups = append(groups, t.groupsOf(known, k, now)...)
+			groups = append(groups, t.waitingGroupsOf(known, k, now)...)
 		}
 	}
 	return groups
 }
 
-func (t *term) groupsOf(known *tracked, k int, now time.Time) []*plan.Group {
+func (t *term) waitingGroupsOf(known *trackedJob, k int, now time.Time) []*plan.Group {
 	var groups []*plan.Group
-	queue := t.queueOf(known)
-	since := known.since
-	if known.job.Spec().Times > 0 {
+	queue := t.currentQueue(known)
+	since := known.acceptedAt
+	if known.job.Spec().Iterations > 0 {
 		since = known.job.Due(k)
 	}
 	for n := range known.job.Spec().Steps {
-		waiting, held := waitingOf(known.job, k, n)
-		waiting = known.ready(job.TaskID{Job: known.job.ID(), Time: k, Step: n}, waiting, now)
-		if len(waiting) == 0 || !known.job.Open(k, n) {
+		waiting, held := waitingTasks(known.job, k, n)
+		waiting = known.readyTasks(job.TaskID{Job: known.job.ID(), Iteration: k, Step: n}, waiting, now)
+		if len(waiting) == 0 || !known.job.DependenciesDone(k, n) {
 			continue
 		}
-		need := now.Sub(since) + known.job.Remaining(k)
+		need := now.Sub(since) + known.job.RemainingTime(k)
 		objective := known.job.Objective()
-		others, suspects, weight := known.splitSuspects(job.TaskID{Job: known.job.ID(), Time: k, Step: n}, waiting, now)
+		others, suspects, weight := known.splitSuspects(job.TaskID{Job: known.job.ID(), Iteration: k, Step: n}, waiting, now)
 		group := &plan.Group{
-			Job: known.job, Time: k, Number: n, Step: &known.job.Spec().Steps[n], Service: queue.Service,
-			Indexes: others, Held: held, Avoid: known.failed, Priority: queue.Priority,
-			Starved: !known.idle.IsZero() && now.Sub(known.idle) > starvedAfter,
-			Slack:   objective - need, Late: lateFactor*objective - need, Work: known.job.Work(k),
+			Job: known.job, Time: k, StepIndex: n, Step: &known.job.Spec().Steps[n], Service: queue.Service,
+			Indexes: others, TasksByWorker: held, Avoid: known.failedHosts, Priority: queue.Priority,
+			Starved: !known.idleSince.IsZero() && now.Sub(known.idleSince) > starvationDelay,
+			Slack:   objective - need, CutoffSlack: lateFactor*objective - need, Work: known.job.RemainingWork(k),
 		}
-		t.advise(group, queue)
+		t.addTickets(group, queue)
 		if len(suspects) > 0 {
 			alone := *group
-			alone.Indexes, alone.Suspect = suspects, weight
+			alone.Indexes, alone.SuspectScore = suspects, weight
 			groups = append(groups, &alone)
 		}
 		if len(others) > 0 {
@@ -68,7 +68,7 @@
 	return groups
 }
 
-func waitingOf(j *job.Job, k, n int) ([]int, map[job.Host]int) {
+func waitingTasks(j *job.Job, k, n int) ([]int, map[job.Host]int) {
 	var waiting []int
 	held := make(map[job.Host]int)
 	tasks := j.Tasks(k, n)
@@ -84,10 +84,10 @@
 	return waiting, held
 }
 
-// queueOf returns the queue as the newest configuration has it.
-func (t *term) queueOf(known *tracked) job.Queue {
+// currentQueue returns the queue as the newest configuration has it.
+func (t *term) currentQueue(known *trackedJob) job.Queue {
 	accepted := known.job.Queue()
-	if newest := t.d.config.Policies.Newest(); newest != nil {
+	if newest := t.dispatcher.config.Policies.Newest(); newest != nil {
 		if q, ok := newest.Queue(accepted.Name); ok {
 			return q
 		}
--- a/internal/dispatch/hostset_test.go
+++ b/internal/dispatch/hostset_test.go
@@ -18,7 +18,7 @@
 // TestHostSetMatchesPlainMap over additions, removals and renamings: the same incarnations, in order, also by VM.
 func TestHostSetMatchesPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set, model := newHostSet(), make(map[job.Host]*hosted)
+		set, model := newHostSet(), make(map[job.Host]*hostState)
 		name := func() job.Host {
 			vm := rapid.IntRange(0, 3).Draw(t, "vm")
 			return job.Host{VM: fmt.Sprintf("vm%d", vm), Incarnation: incarnation.New("i", int64(rapid.IntRange(0, 3).Draw(t, "born")))}
@@ -28,7 +28,7 @@
 			known := model[n]
 			switch {
 			case known == nil:
-				model[n] = &hosted{worker: plan.Worker{Host: n}}
+				model[n] = &hostState{worker: plan.Worker{Host: n}}
 				set.add(model[n])
 			case rapid.Bool().Draw(t, "rename"):
 				if next := name(); model[next] == nil {
@@ -59,13 +59,13 @@
 // entry, since all agents report several times a second under one lock.
 func TestReportCostIsIndependentOfFleetSize(t *testing.T) {
 	allocations := func(workers int) float64 {
-		lead := crowdedTerm(workers)
+		lead := busyTerm(workers)
 		report := link.Report{VM: "vm-07", Epoch: 1, Instance: "vm-07", Service: testService, CPU: 32000, Memory: 128000, Fenced: true}
-		answer, err := lead.report(mailbox{&fakeAgent{vm: report.VM}}, report)
+		answer, err := lead.report(fakeSession{&fakeAgent{vm: report.VM}}, report)
 		assert.NilError(t, err)
 		report.List = answer.List
 		return testing.AllocsPerRun(20, func() {
-			if _, err := lead.report(mailbox{&fakeAgent{vm: report.VM}}, report); err != nil {
+			if _, err := lead.report(fakeSession{&fakeAgent{vm: report.VM}}, report); err != nil {
 				t.Error(err)
 			}
 		})
@@ -82,14 +82,14 @@
 	}
 	before := sampleOf(list, "vm-1")
 	after := sampleOf(append(list, "10.0.999.1:7720"), "vm-1")
-	assert.Equal(t, len(before), mostNamed)
+	assert.Equal(t, len(before), maxEntriesSent)
 	kept := 0
 	for _, a := range after {
 		if slices.Contains(before, a) {
 			kept++
 		}
 	}
-	assert.Assert(t, kept >= mostNamed-1, "%d of %d kept", kept, mostNamed)
+	assert.Assert(t, kept >= maxEntriesSent-1, "%d of %d kept", kept, maxEntriesSent)
 	assert.Assert(t, !slices.Equal(before, sampleOf(list, "vm-2")))
 	assert.DeepEqual(t, sampleOf(list[:3], "vm-1"), list[:3])
 }
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -15,15 +15,15 @@
 
 // watchInputs takes the jobs and cancellations that entries write.
 func (t *term) watchInputs(ctx context.Context) error {
-	t.inputsFollower().Run(ctx, t.inputs)
+	t.inputsFollower().Run(ctx, t.inputsRevision)
 	return ctx.Err()
 }
 
 func (t *term) inputsFollower() *follow.Prefix {
-	return follow.NewPrefix(t.store, record.Inputs, inputTiming, t.takeInputs, t.logger)
+	return follow.NewPrefix(t.store, record.InputPrefix, inputTiming, t.applyInputs, t.logger)
 }
 
-func (t *term) takeInputs(c follow.Change) error {
+func (t *term) applyInputs(c follow.Change) error {
 	var items []kv.Item
 	for _, e := range c.Events {
 		if !e.Gone() {
@@ -35,18 +35,18 @@
 	}
 	t.mu.Lock()
 	for _, i := range items {
-		t.takeJob(i)
+		t.addJob(i)
 	}
 	for _, i := range items {
-		t.takeCancel(i)
+		t.applyCancel(i)
 	}
 	t.mu.Unlock()
 	t.wakeUp()
 	return nil
 }
 
-func (t *term) takeJob(i kv.Item) {
-	id, ok := record.JobOf(i.Key())
+func (t *term) addJob(i kv.Item) {
+	id, ok := record.ParseJobKey(i.Key())
 	if !ok || t.jobs[id] != nil {
 		return
 	}
@@ -58,15 +58,15 @@
 	t.jobs[id] = newTracked(decoded)
 }
 
-func newTracked(j *job.Job) *tracked {
-	return &tracked{
-		job: j, since: sinceAccepted(j.Accepted()), failed: make(map[job.Host]bool), suspects: make(map[job.TaskID]time.Time),
+func newTracked(j *job.Job) *trackedJob {
+	return &trackedJob{
+		job: j, acceptedAt: localAcceptTime(j.Accepted()), failedHosts: make(map[job.Host]bool), suspectedSince: make(map[job.TaskID]time.Time),
 		backoffs: make(map[job.TaskID]backoff),
 	}
 }
 
-// sinceAccepted returns when a job was accepted by this clock, which may differ from the entry's.
-func sinceAccepted(accepted time.Time) time.Time {
+// localAcceptTime returns when a job was accepted by this clock, which may differ from the entry's.
+func localAcceptTime(accepted time.Time) time.Time {
 	const likely = 5 * time.Minute
 	now := time.Now()
 	age := now.Sub(accepted)
@@ -76,8 +76,8 @@
 	return now.Add(-age)
 }
 
-func (t *term) takeCancel(i kv.Item) {
-	id, ok := record.CancelOf(i.Key())
+func (t *term) applyCancel(i kv.Item) {
+	id, ok := record.ParseCancelKey(i.Key())
 	if !ok {
 		return
 	}
@@ -86,25 +86,25 @@
 		return
 	}
 	t.logger.Info("job canceled; job=%s", id)
-	t.finish(known)
-	t.touch(known)
+	t.stopRuns(known)
+	t.markDirty(known)
 }
 
-// touch takes note that a job changed and has to be committed.
-func (t *term) touch(known *tracked) {
+// markDirty takes note that a job changed and has to be committed.
+func (t *term) markDirty(known *trackedJob) {
 	known.version++
 	if _, waits := t.dirty[known.job.ID()]; !waits {
-		t.changes++
-		t.dirty[known.job.ID()] = t.changes
+		t.changeCount++
+		t.dirty[known.job.ID()] = t.changeCount
 	}
 }
 
-// finish begins to stop what still runs of a job that ended.
-func (t *term) finish(known *tracked) {
-	known.ended = time.Now()
+// stopRuns begins to stop what still runs of a job that ended.
+func (t *term) stopRuns(known *trackedJob) {
+	known.endedAt = time.Now()
 	known.job.Each(func(id job.TaskID, task *job.Task) {
 		if task.Phase() == job.Placed {
-			t.stop(id, task)
+			t.requestStop(id, task)
 		}
 	})
 }
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -8,21 +8,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// loadEvery is how often the lead logs its load: often enough to see a wave of work, and one line in two seconds costs nothing.
-const loadEvery = 2 * time.Second
+// loadLogInterval is how often the lead logs its load: often enough to see a wave of work, and one line in two seconds costs nothing.
+const loadLogInterval = 2 * time.Second
 
-// thousandths is how many parts of a core a size counts.
-const thousandths = 1000
+// millisPerCore is how many parts of a core a size counts.
+const millisPerCore = 1000
 
 // load sums up what waits, what runs and what the workers have left.
 type load struct {
 	// waiting tasks are short ones, lasting ones and those that will fill, which are of batchJobs jobs.
-	waitingShort, waitingLasting, waitingBatch int
-	batchJobs                                  int
-	// capacity and the next are thousandths of a core: of the workers, declared by what serves, asked for and in use by what fills.
-	capacity, serving, asked, used int
-	// filling counts the tasks that fill, slowed those of them that are paced down, over the serving tasks over their targets.
-	filling, slowed, served, over int
+	waitingShort, waitingLongRunning, waitingBatch int
+	batchJobs                                      int
+	// capacity and the next are thousandths of a core: of the workers, declared by what serves, requested for and in use by what fills.
+	capacity, serving, requested, used int
+	// filling counts the tasks that fill, throttled those of them that are paced down, overTarget the serving tasks overTarget their targets.
+	filling, throttled, served, overTarget int
 }
 
 // currentLoad returns the load, without what waits.
@@ -36,16 +36,16 @@
 
 // logLoad logs the load, with what waits, now and then.
 func (t *term) logLoad(l load, groups []*plan.Group) {
-	if time.Since(t.loadLogged) < loadEvery {
+	if time.Since(t.loadLoggedAt) < loadLogInterval {
 		return
 	}
-	t.loadLogged = time.Now()
+	t.loadLoggedAt = time.Now()
 	t.logClosures()
 	l.addWaiting(groups)
 	t.logger.Info("load; workers=%d waiting_short=%d waiting_lasting=%d waiting_batch=%d of_jobs=%d cores=%d serving=%d "+
 		"filling_tasks=%d slowed=%d asked=%d used=%d served=%d over=%d starved=%.1f",
-		t.hosts.len(), l.waitingShort, l.waitingLasting, l.waitingBatch, l.batchJobs, l.capacity/thousandths, l.serving/thousandths,
-		l.filling, l.slowed, l.asked/thousandths, l.used/thousandths, l.served, l.over, t.starvation.level)
+		t.hosts.len(), l.waitingShort, l.waitingLongRunning, l.waitingBatch, l.batchJobs, l.capacity/millisPerCore, l.serving/millisPerCore,
+		l.filling, l.throttled, l.requested/millisPerCore, l.used/millisPerCore, l.served, l.overTarget, t.backlog.level)
 }
 
 // addWaiting counts the tasks that wait, and the jobs that those of them belong to which will fill.
@@ -53,9 +53,9 @@
 	batch := make(map[job.ID]bool)
 	for _, g := range groups {
 		switch {
-		case g.Step.Lasting:
-			l.waitingLasting += len(g.Indexes)
-		case g.Step.Fills:
+		case g.Step.LongRunning:
+			l.waitingLongRunning += len(g.Indexes)
+		case g.Step.BestEffort:
 			l.waitingBatch += len(g.Indexes)
 			batch[g.Job.ID()] = true
 		default:
@@ -66,22 +66,22 @@
 }
 
 // addWorker counts a worker and what is placed there.
-func (l *load) addWorker(h *hosted) {
+func (l *load) addWorker(h *hostState) {
 	l.capacity += h.worker.Capacity.CPU
-	l.serving += h.worker.Serving
+	l.serving += h.worker.ServingCPU
 	for _, p := range h.runs {
 		switch {
-		case p.step.Fills:
+		case p.step.BestEffort:
 			l.filling++
-			l.asked += p.step.Size.CPU
-			l.used += p.figure
+			l.requested += p.step.Size.CPU
+			l.used += p.measurement
 			if p.pace < pacing.Full {
-				l.slowed++
+				l.throttled++
 			}
 		case p.step.Serves():
 			l.served++
-			if p.figure > int(p.step.Target.Milliseconds()) {
-				l.over++
+			if p.measurement > int(p.step.Target.Milliseconds()) {
+				l.overTarget++
 			}
 		}
 	}
--- a/internal/dispatch/losses.go
+++ b/internal/dispatch/losses.go
@@ -15,43 +15,43 @@
 	runs  []link.Run
 }
 
-// countLost counts the runs of an incarnation that has ended as lost, by what its agent reports or, with no crash reported, by what the leader
+// countLosses counts the runs of an incarnation that has ended as lost, by what its agent reports or, with no crash reported, by what the leader
 // has seen itself.
-func (t *term) countLost(a *agent, h *hosted, told *link.Crash) {
-	h.ended, h.worker.Open = true, false
+func (t *term) countLosses(a *agent, h *hostState, told *link.Crash) {
+	h.ended, h.worker.Schedulable = true, false
 	if told == nil && len(h.runs) > 0 && !h.draining {
-		t.d.config.Metrics.Counter("lead.untold_crashes").Inc(1)
+		t.dispatcher.config.Metrics.Counter("lead.untold_crashes").Inc(1)
 		t.logger.Warn("worker incarnation ended without a crash report; vm=%s instance=%s runs=%d",
 			h.worker.Host.VM, h.worker.Host.Incarnation, len(h.runs))
-		seen := h.asSeen()
-		t.judgeCrash(a, seen.Incarnation(), t.suspectsOf(seen))
+		seen := h.observedCrash()
+		t.attributeCrash(a, seen.Incarnation(), t.suspectRuns(seen))
 	}
-	ages, shared := agesOf(told), t.crashedWith(a) >= manyOthers
-	t.charge(h, func(run link.Run) (crash.Loss, bool) {
+	ages, shared := runAges(told), t.simultaneousCrashes(a) >= minSimultaneousLosses
+	t.recordLosses(h, func(run link.Run) (crash.Loss, bool) {
 		if told == nil {
-			return h.run(run).untoldLoss(shared), true
+			return h.findRun(run).observedLoss(shared), true
 		}
 		age, had := ages[run]
-		return crash.ToldLoss(age, shared), had
+		return crash.ReportedLoss(age, shared), had
 	})
 }
 
-// untoldLoss returns the loss of a run of which no agent tells: the lead that ordered it has seen for how long it lived.
-func (p *placed) untoldLoss(shared bool) crash.Loss {
-	if p.sent.IsZero() {
-		return crash.UntoldLoss()
+// observedLoss returns the loss of a run of which no agent tells: the lead that ordered it has seen for how long it lived.
+func (p *placedRun) observedLoss(shared bool) crash.Loss {
+	if p.startSentAt.IsZero() {
+		return crash.UnreportedLoss()
 	}
-	return crash.ToldLoss(p.lived(), shared)
+	return crash.ReportedLoss(p.minimumLifetime(), shared)
 }
 
-// asSeen returns what the leader itself saw of the runs of an incarnation that has ended.
-func (h *hosted) asSeen() link.Crash {
+// observedCrash returns what the leader itself saw of the runs of an incarnation that has ended.
+func (h *hostState) observedCrash() link.Crash {
 	id := h.worker.Host.Incarnation
-	seen := link.Crash{Instance: id.Worker(), Born: id.Born()}
-	for _, task := range h.runsInOrder() {
+	seen := link.Crash{Instance: id.Worker(), StartMillis: id.StartMillis()}
+	for _, task := range h.sortedRuns() {
 		if p := h.runs[task]; p.committed {
 			seen.Runs = append(seen.Runs, link.CrashedRun{
-				Run: link.NewRun(task, p.run), Answered: p.proved, AgeMillis: p.lived().Milliseconds(),
+				Run: link.NewRun(task, p.number), Answered: p.survivedStart, AgeMillis: p.minimumLifetime().Milliseconds(),
 			})
 		}
 	}
@@ -59,99 +59,99 @@
 }
 
 // markUnreachable takes back the runs of an incarnation whose lease has lapsed, whether its worker crashed or not.
-func (t *term) markUnreachable(h *hosted, reason string) {
-	runs := t.charge(h, func(link.Run) (crash.Loss, bool) { return crash.UnseenLoss(), true })
-	for _, id := range h.runsWhich(func(p *placed) bool { return p.committed && p.shown.IsZero() }) {
-		t.recordLate(h.worker.Host, link.NewRun(id, h.runs[id].run))
+func (t *term) markUnreachable(h *hostState, reason string) {
+	runs := t.recordLosses(h, func(link.Run) (crash.Loss, bool) { return crash.UnreachableLoss(), true })
+	for _, id := range h.runsWhere(func(p *placedRun) bool { return p.committed && p.reportedAt.IsZero() }) {
+		t.recordLateStart(h.worker.Host, link.NewRun(id, h.runs[id].number))
 	}
 	if len(runs) > 0 {
 		t.unreachable[h.worker.Host] = unreachable{since: time.Now(), runs: runs}
 	}
-	t.lose(h, h.runsInOrder(), reason)
+	t.recordLostRuns(h, h.sortedRuns(), reason)
 }
 
-// charge counts the runs of a life as lost, so that a task is not started for ever of whose crashes nobody tells, or which is cleared of
+// recordLosses counts the runs of a life as lost, so that a task is not started for ever of whose crashes nobody tells, or which is cleared of
 // each. It returns those that were counted; lost tells how a run was, if the life had it. What leaves by plan and what was never
 // ordered is not lost so.
-func (t *term) charge(h *hosted, lost func(link.Run) (crash.Loss, bool)) []link.Run {
+func (t *term) recordLosses(h *hostState, lost func(link.Run) (crash.Loss, bool)) []link.Run {
 	if h.draining {
 		return nil
 	}
 	var counted []link.Run
-	for _, id := range h.runsInOrder() {
+	for _, id := range h.sortedRuns() {
 		p, known := h.runs[id], t.jobs[id.Job]
-		run := link.NewRun(id, p.run)
+		run := link.NewRun(id, p.number)
 		loss, had := lost(run)
-		if known == nil || !p.committed || !had || !known.job.Lost(id, p.run, loss) {
+		if known == nil || !p.committed || !had || !known.job.RecordLoss(id, p.number, loss) {
 			continue
 		}
 		counted = append(counted, run)
-		t.charged(known, id)
+		t.lossesChanged(known, id)
 	}
-	t.d.config.Metrics.Counter("lead.lost_runs").Inc(int64(len(counted)))
+	t.dispatcher.config.Metrics.Counter("lead.lost_runs").Inc(int64(len(counted)))
 	return counted
 }
 
-// charged takes note that the losses of a task have changed, which may be spent.
-func (t *term) charged(known *tracked, id job.TaskID) {
+// lossesChanged takes note that the losses of a task have changed, which may be spent.
+func (t *term) lossesChanged(known *trackedJob, id job.TaskID) {
 	losses := known.job.Suspicion(id).Losses()
-	t.held(known, fmt.Sprintf("the workers of a task of it are lost each time; task=%s lost=%d crashed=%d alike=%d blind=%d",
-		id, losses.All(), losses.Over(), losses.Alike(), losses.Blind()))
+	t.suspicionChanged(known, fmt.Sprintf("the workers of a task of it are lost each time; task=%s lost=%d crashed=%d alike=%d blind=%d",
+		id, losses.Total(), losses.Crashed(), losses.Similar(), losses.UnknownLifetime()))
 }
 
-// settleUnreachable records what became of the unreachable incarnations of a VM's worker, now that its agent reports: the present one has not
+// resolveUnreachable records what became of the unreachable incarnations of a VM's worker, now that its agent reports: the present one has not
 // crashed, and another one has.
-func (t *term) settleUnreachable(current job.Host) {
+func (t *term) resolveUnreachable(current job.Host) {
 	for host, life := range t.unreachable {
 		if host.VM == current.VM {
 			delete(t.unreachable, host)
-			t.settleRuns(life.runs, func(link.Run) bool { return host != current })
+			t.resolveRuns(life.runs, func(link.Run) bool { return host != current })
 		}
 	}
 }
 
-// settleTold takes note that a worker has crashed of which an agent tells, also where an earlier lead lost sight of it.
-func (t *term) settleTold(vm string, told link.Crash) {
-	host, ages := job.Host{VM: vm, Incarnation: told.Incarnation()}, agesOf(&told)
+// resolveReported takes note that a worker has crashed of which an agent tells, also where an earlier lead lost sight of it.
+func (t *term) resolveReported(vm string, told link.Crash) {
+	host, ages := job.Host{VM: vm, Incarnation: told.Incarnation()}, runAges(&told)
 	runs := t.unreachable[host].runs
 	delete(t.unreachable, host)
 	for _, r := range told.Runs {
 		runs = append(runs, r.Run)
 	}
-	t.settleRuns(runs, func(run link.Run) bool {
+	t.resolveRuns(runs, func(run link.Run) bool {
 		_, had := ages[run]
 		return had
 	})
 }
 
-// settleRuns takes note of which runs that were lost sight of were lost by a crash, and which were not lost.
-func (t *term) settleRuns(runs []link.Run, crashed func(link.Run) bool) {
+// resolveRuns takes note of which runs that were lost sight of were lost by a crash, and which were not lost.
+func (t *term) resolveRuns(runs []link.Run, crashed func(link.Run) bool) {
 	for _, run := range runs {
 		known := t.jobOf(run)
-		if id, _ := run.TaskID(); known != nil && known.job.Settled(id, run.Number, crashed(run)) {
-			t.charged(known, id)
+		if id, _ := run.TaskID(); known != nil && known.job.ResolveLoss(id, run.Number, crashed(run)) {
+			t.lossesChanged(known, id)
 		}
 	}
 }
 
-// settleEnded takes note that a worker lists the end of a run, so that it has not crashed under it.
-func (t *term) settleEnded(id job.TaskID, run int) {
-	if known := t.jobs[id.Job]; known != nil && known.job.Settled(id, run, false) {
-		t.touch(known)
+// resolveEnded takes note that a worker lists the end of a run, so that it has not crashed under it.
+func (t *term) resolveEnded(id job.TaskID, run int) {
+	if known := t.jobs[id.Job]; known != nil && known.job.ResolveLoss(id, run, false) {
+		t.markDirty(known)
 	}
 }
 
-// forgetUnreachable forgets the lives of VMs that never came back.
-func (t *term) forgetUnreachable(now time.Time) {
+// expireUnreachable forgets the lives of VMs that never came back.
+func (t *term) expireUnreachable(now time.Time) {
 	for host, life := range t.unreachable {
-		if now.Sub(life.since) > keepEnded {
+		if now.Sub(life.since) > endedJobRetention {
 			delete(t.unreachable, host)
 		}
 	}
 }
 
-// agesOf returns the runs that a life had by what its agent tells, with for how long.
-func agesOf(told *link.Crash) map[link.Run]time.Duration {
+// runAges returns the runs that a life had by what its agent tells, with for how long.
+func runAges(told *link.Crash) map[link.Run]time.Duration {
 	ages := make(map[link.Run]time.Duration)
 	if told == nil {
 		return ages
--- a/internal/dispatch/modelworker_test.go
+++ b/internal/dispatch/modelworker_test.go
@@ -14,68 +14,68 @@
 
 // modelWorker is a worker by the users' rules, for one task. Only one goroutine of a bubble runs it at a time, at moments of fake time.
 type modelWorker struct {
-	replay *replay
-	mu     chan struct{}
-	id     incarnation.ID
-	began  time.Time
-	// clock is what the steady clock showed at the start.
-	clock    time.Duration
-	away     time.Time
-	sequence uint64
-	fence    uint64
-	held     host.Clock
-	run      *host.Run
-	started  time.Time
-	latest   int
-	ends     []host.Ended
-	number   uint64
-	// late is how much later starts are carried out, without an answer, 0 for at once.
-	late time.Duration
-	// sent is the highest fence of the starts that were sent to any incarnation.
-	sent uint64
+	replay    *simulation
+	mu        chan struct{}
+	id        incarnation.ID
+	startedAt time.Time
+	// startClock is what the steady startClock showed at the start.
+	startClock     time.Duration
+	downUntil      time.Time
+	reportSequence uint64
+	fence          uint64
+	leaseUntil     host.Clock
+	run            *host.Run
+	runStartedAt   time.Time
+	latestRun      int
+	ends           []host.EndedRun
+	lastEnd        uint64
+	// startDelay is how much later starts are carried out, without an answer, 0 for at once.
+	startDelay time.Duration
+	// highestSentFence is the highest fence of the starts that were highestSentFence to any incarnation.
+	highestSentFence uint64
 }
 
-func newModelWorker(p *replay, name string) *modelWorker {
+func newModelWorker(p *simulation, name string) *modelWorker {
 	w := &modelWorker{replay: p, mu: make(chan struct{}, 1)}
-	w.become(incarnation.New(name, births), time.Hour)
+	w.reset(incarnation.New(name, clockStart), time.Hour)
 	return w
 }
 
 func (w *modelWorker) lock()   { w.mu <- struct{}{} }
 func (w *modelWorker) unlock() { <-w.mu }
 
-func (w *modelWorker) become(id incarnation.ID, clock time.Duration) {
-	w.id, w.began, w.clock = id, time.Now(), clock
-	w.sequence, w.fence, w.held, w.run, w.latest, w.ends, w.number = 0, 0, 0, nil, 0, nil, 0
+func (w *modelWorker) reset(id incarnation.ID, clock time.Duration) {
+	w.id, w.startedAt, w.startClock = id, time.Now(), clock
+	w.reportSequence, w.fence, w.leaseUntil, w.run, w.latestRun, w.ends, w.lastEnd = 0, 0, 0, nil, 0, nil, 0
 }
 
 // restart crashes the worker, which is back a while later as another incarnation.
 func (w *modelWorker) restart(id incarnation.ID, clock time.Duration) {
 	w.lock()
 	defer w.unlock()
-	w.become(id, clock)
-	w.away = time.Now().Add(replayAway)
+	w.reset(id, clock)
+	w.downUntil = time.Now().Add(simulatedDowntime)
 }
 
-func (w *modelWorker) now() host.Clock { return host.Clock(w.clock + time.Since(w.began)) }
+func (w *modelWorker) now() host.Clock { return host.Clock(w.startClock + time.Since(w.startedAt)) }
 
-// live reports to the agent and ends what is done or not held any more.
-func (w *modelWorker) live(ctx context.Context, vm int) {
+// serve reports to the agent and ends what is done or not held any more.
+func (w *modelWorker) serve(ctx context.Context, vm int) {
 	var reported time.Time
 	for ctx.Err() == nil {
 		w.lock()
 		w.advance()
-		due := time.Since(reported) >= replayHeartbeats && time.Now().After(w.away)
-		w.sequence++
+		due := time.Since(reported) >= simulatedHeartbeatInterval && time.Now().After(w.downUntil)
+		w.reportSequence++
 		report := host.Report{
-			Incarnation: w.id, Service: testService, Capacity: testCapacity, Sequence: w.sequence, Clock: w.now(), Labels: []string{"a"},
+			Incarnation: w.id, Service: testService, Capacity: testCapacity, Sequence: w.reportSequence, Clock: w.now(), Labels: []string{"a"},
 		}
 		w.unlock()
 		if due {
 			reported = time.Now()
 			w.replay.agents[vm].Reported(report)
 		}
-		wait.For(ctx, replayStep)
+		wait.For(ctx, simulatedStep)
 	}
 }
 
@@ -83,25 +83,25 @@
 func (w *modelWorker) advance() {
 	switch {
 	case w.run == nil:
-	case w.now() > w.held:
-		w.end(job.EndLapsed)
-	case !w.replay.lasting && time.Since(w.started) >= w.replay.work:
-		w.end(job.EndDone)
+	case w.now() > w.leaseUntil:
+		w.endRun(job.EndLapsed)
+	case !w.replay.longRunning && time.Since(w.runStartedAt) >= w.replay.taskTime:
+		w.endRun(job.EndDone)
 	}
 }
 
-func (w *modelWorker) end(how job.End) {
-	w.number++
-	w.ends = append(w.ends, host.Ended{Number: w.number, Run: *w.run, End: how})
+func (w *modelWorker) endRun(how job.End) {
+	w.lastEnd++
+	w.ends = append(w.ends, host.EndedRun{Sequence: w.lastEnd, Run: *w.run, End: how})
 	w.run = nil
 }
 
-// enter locks the worker for a call, false where it does not answer or has another id.
-func (w *modelWorker) enter(id incarnation.ID) error {
+// lockForCall locks the worker for a call, false where it does not answer or has another id.
+func (w *modelWorker) lockForCall(id incarnation.ID) error {
 	w.lock()
 	w.advance()
 	switch {
-	case time.Now().Before(w.away):
+	case time.Now().Before(w.downUntil):
 		w.unlock()
 		return fault.New(fault.Unavailable, "connection refused")
 	case !id.IsZero() && !w.id.SameWorker(id):
@@ -113,71 +113,71 @@
 
 // Start implements host.Worker.
 func (w *modelWorker) Start(ctx context.Context, id incarnation.ID, o host.Start) (host.Refusal, error) {
-	if err := w.enter(id); err != nil {
-		return host.RefusedWrong, err
+	if err := w.lockForCall(id); err != nil {
+		return host.RefusedInvalid, err
 	}
-	w.sent = max(w.sent, o.Fence)
-	if w.late == 0 {
+	w.highestSentFence = max(w.highestSentFence, o.Fence)
+	if w.startDelay == 0 {
 		defer w.unlock()
-		return w.begin(o), nil
+		return w.startRun(o), nil
 	}
-	late := w.late
+	late := w.startDelay
 	w.unlock()
 	go func() {
 		wait.For(w.replay.ctx, late)
-		if w.enter(id) == nil {
-			w.begin(o)
+		if w.lockForCall(id) == nil {
+			w.startRun(o)
 			w.unlock()
 		}
 	}()
 	<-ctx.Done()
-	return host.RefusedWrong, fault.New(fault.OutcomeUnknown, "no answer")
+	return host.RefusedInvalid, fault.New(fault.OutcomeUnknown, "no answer")
 }
 
-// begin carries a start out; w is locked.
-func (w *modelWorker) begin(o host.Start) host.Refusal {
+// startRun carries a start out; w is locked.
+func (w *modelWorker) startRun(o host.Start) host.Refusal {
 	switch {
 	case o.Fence < w.fence:
 		return host.RefusedFence
 	case w.run != nil && *w.run == o.Run:
-		w.hold(o.Until)
+		w.extendLease(o.Until)
 		return host.Accepted
-	case o.Run.Number <= w.latest:
+	case o.Run.Number <= w.latestRun:
 		return host.RefusedOld
 	case o.Until <= w.now():
 		return host.RefusedLate
 	}
 	w.fence = max(w.fence, o.Fence)
 	if w.replay.running() > 0 {
-		w.replay.fail("run %d starts on %s beside another", o.Run.Number, w.id)
+		w.replay.recordViolation("run %d starts on %s beside another", o.Run.Number, w.id)
 	}
-	if w.replay.noted && !w.replay.lasting {
-		w.replay.fail("run %d starts on %s after an end that was acknowledged", o.Run.Number, w.id)
+	if w.replay.completionRecorded && !w.replay.longRunning {
+		w.replay.recordViolation("run %d starts on %s after an end that was acknowledged", o.Run.Number, w.id)
 	}
 	run := o.Run
-	w.run, w.started, w.latest = &run, time.Now(), run.Number
-	w.hold(o.Until)
+	w.run, w.runStartedAt, w.latestRun = &run, time.Now(), run.Number
+	w.extendLease(o.Until)
 	return host.Accepted
 }
 
-// hold prolongs the lease; w is locked.
-func (w *modelWorker) hold(until host.Clock) {
+// extendLease prolongs the lease; w is locked.
+func (w *modelWorker) extendLease(until host.Clock) {
 	const longest = 6 * time.Second
-	w.held = max(w.held, min(until, w.now()+host.Clock(longest)))
+	w.leaseUntil = max(w.leaseUntil, min(until, w.now()+host.Clock(longest)))
 }
 
 // Stop implements host.Worker.
 func (w *modelWorker) Stop(_ context.Context, id incarnation.ID, run host.Run, fence uint64) (host.Refusal, error) {
-	if err := w.enter(id); err != nil {
-		return host.RefusedWrong, err
+	if err := w.lockForCall(id); err != nil {
+		return host.RefusedInvalid, err
 	}
 	defer w.unlock()
 	if fence < w.fence {
 		return host.RefusedFence, nil
 	}
-	w.fence, w.latest = max(w.fence, fence), max(w.latest, run.Number)
+	w.fence, w.latestRun = max(w.fence, fence), max(w.latestRun, run.Number)
 	if w.run != nil && *w.run == run {
-		w.end(job.EndStopped)
+		w.endRun(job.EndStopped)
 	}
 	return host.Accepted, nil
 }
@@ -187,31 +187,31 @@
 	return host.Accepted, nil
 }
 
-// Limit implements host.Worker.
-func (w *modelWorker) Limit(int) {}
+// LimitConnections implements host.Worker.
+func (w *modelWorker) LimitConnections(int) {}
 
-// Hold implements host.Worker.
-func (w *modelWorker) Hold(ctx context.Context, id incarnation.ID, h host.Hold) (host.View, host.Refusal, error) {
-	if err := w.enter(id); err != nil {
-		return host.View{}, host.RefusedWrong, err
+// Renew implements host.Worker.
+func (w *modelWorker) Renew(ctx context.Context, id incarnation.ID, h host.Renewal) (host.View, host.Refusal, error) {
+	if err := w.lockForCall(id); err != nil {
+		return host.View{}, host.RefusedInvalid, err
 	}
 	if h.Fence < w.fence {
 		w.unlock()
 		return host.View{}, host.RefusedFence, nil
 	}
 	w.fence = max(w.fence, h.Fence)
-	w.acknowledge(h.Seen)
-	w.hold(h.Until)
+	w.acknowledgeEnds(h.Acknowledged)
+	w.extendLease(h.Until)
 	called := w.id
 	for deadline := time.Now().Add(h.Wait); len(w.ends) == 0 && time.Now().Before(deadline) && w.id == called && ctx.Err() == nil; {
 		w.unlock()
-		wait.For(ctx, replayStep)
+		wait.For(ctx, simulatedStep)
 		w.lock()
 		w.advance()
 	}
 	defer w.unlock()
-	if w.id != called || time.Now().Before(w.away) {
-		return host.View{}, host.RefusedWrong, fault.New(fault.OutcomeUnknown, "connection reset")
+	if w.id != called || time.Now().Before(w.downUntil) {
+		return host.View{}, host.RefusedInvalid, fault.New(fault.OutcomeUnknown, "connection reset")
 	}
 	view := host.View{Incarnation: w.id, Clock: w.now(), Ended: slices.Clone(w.ends)}
 	if w.run != nil {
@@ -220,12 +220,12 @@
 	return view, host.Accepted, nil
 }
 
-// acknowledge forgets ends; w is locked.
-func (w *modelWorker) acknowledge(seen uint64) {
-	w.ends = slices.DeleteFunc(w.ends, func(e host.Ended) bool {
-		if e.Number <= seen && e.End == job.EndDone {
-			w.replay.noted = true
+// acknowledgeEnds forgets ends; w is locked.
+func (w *modelWorker) acknowledgeEnds(seen uint64) {
+	w.ends = slices.DeleteFunc(w.ends, func(e host.EndedRun) bool {
+		if e.Sequence <= seen && e.End == job.EndDone {
+			w.replay.completionRecorded = true
 		}
-		return e.Number <= seen
+		return e.Sequence <= seen
 	})
 }
--- a/internal/dispatch/inorder.go
+++ b/internal/dispatch/ordering.go
@@ -13,13 +13,13 @@
 	return cmp.Or(cmp.Compare(a.VM, b.VM), incarnation.Compare(a.Incarnation, b.Incarnation))
 }
 
-// runsInOrder returns the tasks that are placed on a worker.
-func (h *hosted) runsInOrder() []job.TaskID {
+// sortedRuns returns the tasks that are placed on a worker.
+func (h *hostState) sortedRuns() []job.TaskID {
 	return slices.SortedFunc(maps.Keys(h.runs), compareTasks)
 }
 
-// runsWhich returns the tasks placed on a worker of which something holds, in order; mostly of none.
-func (h *hosted) runsWhich(holds func(*placed) bool) []job.TaskID {
+// runsWhere returns the tasks placed on a worker of which something holds, in order; mostly of none.
+func (h *hostState) runsWhere(holds func(*placedRun) bool) []job.TaskID {
 	var found []job.TaskID
 	for id, p := range h.runs {
 		if holds(p) {
@@ -32,11 +32,11 @@
 
 func compareTasks(a, b job.TaskID) int {
 	return cmp.Or(
-		cmp.Compare(a.Job, b.Job), cmp.Compare(a.Time, b.Time), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
+		cmp.Compare(a.Job, b.Job), cmp.Compare(a.Iteration, b.Iteration), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
 }
 
-// dirtyInOrder returns the jobs that have to be committed: those of urgent queues first, then those that wait longest.
-func (t *term) dirtyInOrder() []job.ID {
+// sortedDirty returns the jobs that have to be committed: those of urgent queues first, then those that wait longest.
+func (t *term) sortedDirty() []job.ID {
 	return slices.SortedFunc(maps.Keys(t.dirty), func(a, b job.ID) int {
 		return cmp.Or(cmp.Compare(t.priorityOf(a), t.priorityOf(b)), cmp.Compare(t.dirty[a], t.dirty[b]))
 	})
--- a/internal/dispatch/rows_test.go
+++ b/internal/dispatch/rows_test.go
@@ -14,60 +14,60 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// inRows returns a report with its runs as rows.
-func inRows(w *link.RowWriter, r link.Report) link.Report {
+// withRows returns a report with its runs as rows.
+func withRows(w *link.RowWriter, r link.Report) link.Report {
 	r.Rows, r.Named = w.Write(r.Running)
 	r.Running = nil
 	return r
 }
 
-// TestReportsInRowsShowWhatRuns, also beside such as tell names each time, as agents of the release before do.
-func TestReportsInRowsShowWhatRuns(t *testing.T) {
+// TestRunsReportedAsRowsAreNotOrderedAgain, also beside such as tell names each time, as agents of the release before do.
+func TestRunsReportedAsRowsAreNotOrderedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, writer := &fakeAgent{vm: "vm"}, link.NewRowWriter()
-		lead := placedTerm(t, kvtest.New(), a)
+		lead := termWithPlacedTask(t, kvtest.New(), a)
 		for percent, report := range []link.Report{
-			lateReport(), inRows(writer, lateReport()), inRows(writer, lateReport()), inRows(writer, lateReport()),
+			runningReport(), withRows(writer, runningReport()), withRows(writer, runningReport()), withRows(writer, runningReport()),
 		} {
 			if report.Running == nil {
 				assert.Equal(t, len(report.Rows), 1)
 			}
 			assert.Equal(t, len(report.Named) > 0, percent == 1, "names are told once")
 			time.Sleep(resendAfter + time.Millisecond)
-			_, err := lead.report(mailbox{a}, report)
+			_, err := lead.report(fakeSession{a}, report)
 			assert.NilError(t, err)
-			a.mail = nil
-			work(t, lead)
-			assert.Equal(t, len(a.mail), 0, "what runs is not ordered again")
+			a.pendingOrders = nil
+			runCycle(t, lead)
+			assert.Equal(t, len(a.pendingOrders), 0, "what runs is not ordered again")
 		}
-		assert.Equal(t, lead.hosts.get(job.Host{VM: "vm", Incarnation: incarnation.New("i1", 0)}).runs[job.TaskID{Job: lateJob}].percent, 1)
+		assert.Equal(t, lead.hosts.get(job.Host{VM: "vm", Incarnation: incarnation.New("i1", 0)}).runs[job.TaskID{Job: testJob}].percent, 1)
 	})
 }
 
-// TestRowsOfAnotherConnectionAreRefused, so that the agent connects anew and tells all names again.
-func TestRowsOfAnotherConnectionAreRefused(t *testing.T) {
+// TestRowsOfAnotherConnectionAreRejected, so that the agent connects anew and tells all names again.
+func TestRowsOfAnotherConnectionAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, writer := &fakeAgent{vm: "vm"}, link.NewRowWriter()
-		lead := placedTerm(t, kvtest.New(), a)
-		_, err := lead.report(mailbox{a}, inRows(writer, lateReport()))
+		lead := termWithPlacedTask(t, kvtest.New(), a)
+		_, err := lead.report(fakeSession{a}, withRows(writer, runningReport()))
 		assert.NilError(t, err)
 		next := &fakeAgent{vm: "vm", session: 1}
-		_, err = lead.report(mailbox{next}, inRows(writer, lateReport()))
+		_, err = lead.report(fakeSession{next}, withRows(writer, runningReport()))
 		assert.Equal(t, fault.KindOf(err), fault.Conflict)
-		_, err = lead.report(mailbox{next}, inRows(link.NewRowWriter(), lateReport()))
+		_, err = lead.report(fakeSession{next}, withRows(link.NewRowWriter(), runningReport()))
 		assert.NilError(t, err)
 	})
 }
 
-// TestEntriesAreToldOnce, and again once there is another.
-func TestEntriesAreToldOnce(t *testing.T) {
+// TestEntriesAreSentOnce, and again once there is another.
+func TestEntriesAreSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		lead := placedTerm(t, kvtest.New(), a)
+		lead := termWithPlacedTask(t, kvtest.New(), a)
 		told := func(has uint64) link.ReportAnswer {
-			r := lateReport()
+			r := runningReport()
 			r.List = has
-			answer, err := lead.report(mailbox{a}, r)
+			answer, err := lead.report(fakeSession{a}, r)
 			assert.NilError(t, err)
 			return answer
 		}
--- a/internal/dispatch/replay_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -24,10 +24,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// pipes is a network in memory: listeners by name.
-type pipes map[string]chan net.Conn
+// pipeNetwork is a network in memory: listeners by name.
+type pipeNetwork map[string]chan net.Conn
 
-func (p pipes) dial(ctx context.Context, address string) (net.Conn, error) {
+func (p pipeNetwork) dial(ctx context.Context, address string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
 	case p[address] <- far:
@@ -59,69 +59,69 @@
 
 func (pipeListener) Addr() net.Addr { return &net.IPAddr{} }
 
-// replay is a leader, agents and workers in one fake time: the real ones but for the workers.
-type replay struct {
+// simulation is a leader, agents and workers in one fake time: the real ones but for the workers.
+type simulation struct {
 	t       *testing.T
 	ctx     context.Context
 	store   *kvtest.Store
-	network pipes
+	network pipeNetwork
 	workers []*modelWorker
 	agents  []*runner.Runner
 	leaders int
 	// depose ends the present leader, killAgent the agent of a VM.
-	depose    func()
-	killAgent []func()
-	uptime    *boottimetest.Clock
-	work      time.Duration
-	lasting   bool
-	broken    []string
-	done      map[host.Run]bool
-	noted     bool
+	depose             func()
+	killAgent          []func()
+	uptime             *boottimetest.Clock
+	taskTime           time.Duration
+	longRunning        bool
+	violations         []string
+	done               map[host.Run]bool
+	completionRecorded bool
 }
 
 const (
-	// replayAway is how long a worker that crashed does not answer, and heartbeats how often it reports.
-	replayAway       = 600 * time.Millisecond
-	replayHeartbeats = 700 * time.Millisecond
-	// replayStep is how often a worker looks whether something has ended.
-	replayStep = 5 * time.Millisecond
+	// simulatedDowntime is how long a worker that crashed does not answer, and heartbeats how often it reports.
+	simulatedDowntime          = 600 * time.Millisecond
+	simulatedHeartbeatInterval = 700 * time.Millisecond
+	// simulatedStep is how often a worker looks whether something has ended.
+	simulatedStep = 5 * time.Millisecond
 )
 
-func newReplay(ctx context.Context, t *testing.T, vms int, lasting bool) *replay {
-	p := &replay{
-		t: t, ctx: ctx, store: kvtest.New(), network: make(pipes), uptime: &boottimetest.Clock{}, lasting: lasting,
-		work: 400 * time.Millisecond, done: make(map[host.Run]bool),
+func newSimulation(ctx context.Context, t *testing.T, vms int, lasting bool) *simulation {
+	p := &simulation{
+		t: t, ctx: ctx, store: kvtest.New(), network: make(pipeNetwork), uptime: &boottimetest.Clock{}, longRunning: lasting,
+		taskTime: 400 * time.Millisecond, done: make(map[host.Run]bool),
 	}
 	for n := range vms {
 		p.workers = append(p.workers, newModelWorker(p, fmt.Sprintf("i-%d", n)))
 		p.agents, p.killAgent = append(p.agents, nil), append(p.killAgent, nil)
 		p.startAgent(n)
-		go p.workers[n].live(ctx, n)
+		go p.workers[n].serve(ctx, n)
 	}
 	p.elect()
 	return p
 }
 
 // elect lets another process lead.
-func (p *replay) elect() {
+func (p *simulation) elect() {
 	if p.depose != nil {
 		p.depose()
 	}
 	p.store.Revoke()
 	p.leaders++
 	name := fmt.Sprintf("e%d", p.leaders)
-	d := entryOf(name, p.store)
+	d := newTestEntry(name, p.store)
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
 	d.Register(mux)
 	p.network[name] = make(chan net.Conn)
 	server := rpc.Serve(pipeListener{conns: p.network[name], closed: make(chan struct{})}, "", mux, rpc.ProcessLimits())
 	ctx, cancel := context.WithCancel(p.ctx)
-	lead, err := d.stand(ctx)
+	lead, err := d.tryAcquire(ctx)
 	assert.NilError(p.t, err)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		d.lead(ctx, lead)
+		d.serveTerm(ctx, lead)
 	}()
 	p.depose = func() {
 		cancel()
@@ -131,14 +131,14 @@
 }
 
 // startAgent starts the agent of a VM, in place of one that was killed.
-func (p *replay) startAgent(n int) {
+func (p *simulation) startAgent(n int) {
 	health := &kv.Health{}
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
 	pool := relay.NewPool("", "", mux, nil)
 	r := runner.New(runner.Config{
 		VM: fmt.Sprintf("vm%d", n), ClosedWithin: testClosedWithin, LongestHold: 6 * time.Second, Worker: p.workers[n],
 		Store: relay.New(p.store, health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: p.network.dial,
-		Uptime: p.uptime, Draw: func() float64 { return 0.5 }, Logger: logging.Discard(), Metrics: metric.New(),
+		Uptime: p.uptime, Random: func() float64 { return 0.5 }, Logger: logging.Discard(), Metrics: metric.New(),
 	})
 	ctx, cancel := context.WithCancel(p.ctx)
 	ended := make(chan struct{})
@@ -153,18 +153,18 @@
 	}
 }
 
-// handIn accepts a job of one task.
-func (p *replay) handIn() {
-	spec := job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: p.work, Lasting: p.lasting}}}
+// submitJob accepts a job of one task.
+func (p *simulation) submitJob() {
+	spec := job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: p.taskTime, LongRunning: p.longRunning}}}
 	value, err := job.Encode(spec, job.Queue{Service: testService, Attempts: 3, Stretch: 2}, time.Now())
 	assert.NilError(p.t, err)
-	_, err = p.store.Commit(p.ctx, kv.Txn{Puts: []kv.Put{{Key: record.JobKey(lateJob), Value: value}}})
+	_, err = p.store.Commit(p.ctx, kv.Txn{Puts: []kv.Put{{Key: record.JobKey(testJob), Value: value}}})
 	assert.NilError(p.t, err)
 }
 
 // state returns the state of the job by the store.
-func (p *replay) state() job.State {
-	item, err := p.store.Get(p.ctx, record.ProgressKey(lateJob))
+func (p *simulation) state() job.State {
+	item, err := p.store.Get(p.ctx, record.ProgressKey(testJob))
 	if err != nil || item.Revision() == 0 {
 		return job.Queued
 	}
@@ -174,7 +174,7 @@
 }
 
 // running counts the runs of the task on all workers.
-func (p *replay) running() int {
+func (p *simulation) running() int {
 	count := 0
 	for _, w := range p.workers {
 		if w.run != nil {
@@ -184,6 +184,6 @@
 	return count
 }
 
-func (p *replay) fail(format string, args ...any) {
-	p.broken = append(p.broken, fmt.Sprintf(format, args...))
+func (p *simulation) recordViolation(format string, args ...any) {
+	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -29,11 +29,11 @@
 func (t *term) jobState(id job.ID) (job.State, bool) {
 	t.mu.Lock()
 	known := t.jobs[id]
-	if known == nil || t.age() > doubtAfter {
+	if known == nil || t.verificationAge() > staleVerificationAfter {
 		t.mu.Unlock()
 		return job.Queued, false
 	}
-	state, needed := known.job.State(), map[*tracked]uint64{known: known.version}
+	state, needed := known.job.State(), map[*trackedJob]uint64{known: known.version}
 	t.mu.Unlock()
 	return state, t.awaitSaved(needed)
 }
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -13,22 +13,22 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestStateWaitsForTheCommitOfTheLastEnd plays a caller who asks some milliseconds after the last task has ended: the job was shown as running, and as
+// TestStateWaitsForCommitOfLastEnd plays a caller who asks some milliseconds after the last task has ended: the job was shown as running, and as
 // completed only when the caller asked again a quarter of a second later, which is all the time that a short job has beside its work.
-func TestStateWaitsForTheCommitOfTheLastEnd(t *testing.T) {
+func TestStateWaitsForCommitOfLastEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const id, commits = job.ID("00000000000000aa"), 20 * time.Millisecond
 		lead, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
-		_, err := lead.report(mailbox{a}, reportOf("i1"))
+		_, err := lead.report(fakeSession{a}, testReport("i1"))
 		assert.NilError(t, err)
 		assert.NilError(t, cycle(context.Background(), lead))
 		state, known := lead.jobState(id)
 		assert.Assert(t, known)
 		assert.Equal(t, state, job.Running)
 
-		ended := reportOf("i1")
+		ended := testReport("i1")
 		ended.Ended = []link.Ended{{Run: link.Run{Task: string(id) + ".0.0.0", Number: 1}, Sequence: 1, End: int(job.EndDone)}}
-		go func() { _, _ = lead.report(mailbox{a}, ended) }()
+		go func() { _, _ = lead.report(fakeSession{a}, ended) }()
 		synctest.Wait()
 		asked := time.Now()
 		time.AfterFunc(commits, func() { assert.Check(t, cycle(context.Background(), lead)) })
@@ -39,14 +39,14 @@
 	})
 }
 
-// TestStateThatIsNotCommittedIsNotTold: the store may have another one.
-func TestStateThatIsNotCommittedIsNotTold(t *testing.T) {
+// TestStateIsNotReturnedBeforeCommit: the store may have another one.
+func TestStateIsNotReturnedBeforeCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const id = job.ID("00000000000000aa")
 		lead, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
-		_, err := lead.report(mailbox{a}, reportOf("i1"))
+		_, err := lead.report(fakeSession{a}, testReport("i1"))
 		assert.NilError(t, err)
-		lead.decide()
+		lead.schedule()
 		_, known := lead.jobState(id)
 		assert.Assert(t, !known, "the placement is not committed")
 		_, known = lead.jobState("00000000000000bb")
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -14,45 +14,45 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// busyStore is a store during whose commits something changes.
-type busyStore struct {
+// changingStore is a store during whose commits something changes.
+type changingStore struct {
 	*kvtest.Store
-	during func()
+	duringCommit func()
 }
 
-func (s busyStore) Commit(ctx context.Context, change kv.Txn) (kv.Revision, error) {
+func (s changingStore) Commit(ctx context.Context, change kv.Txn) (kv.Revision, error) {
 	time.Sleep(10 * time.Millisecond)
-	s.during()
+	s.duringCommit()
 	return s.Store.Commit(ctx, change)
 }
 
-// TestPlansGoOnWhileThereIsAlwaysSomethingToCommit failed with a short task that was not placed for as long as ends of other
+// TestSchedulingContinuesUnderConstantCommits failed with a short task that was not placed for as long as ends of other
 // jobs came in with each commit.
-func TestPlansGoOnWhileThereIsAlwaysSomethingToCommit(t *testing.T) {
+func TestSchedulingContinuesUnderConstantCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		term := testTerm(t, store)
 		step := job.Step{Count: 1, Size: job.Size{CPU: 1000}}
-		other := term.benchJob(1, step)
-		term.store = busyStore{store, func() {
+		other := term.addTestJob(1, step)
+		term.store = changingStore{store, func() {
 			term.mu.Lock()
 			defer term.mu.Unlock()
-			term.touch(other)
+			term.markDirty(other)
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- term.work(ctx) }()
+		go func() { ended <- term.planAndCommit(ctx) }()
 		term.wakeUp()
 		time.Sleep(50 * time.Millisecond)
 		term.mu.Lock()
-		term.benchWorker("vm")
-		short := term.benchJob(2, step)
+		term.addWorker("vm")
+		short := term.addTestJob(2, step)
 		term.mu.Unlock()
 		term.wakeUp()
 		time.Sleep(200 * time.Millisecond)
 		term.mu.Lock()
 		phase := short.job.Task(job.TaskID{Job: short.job.ID()}).Phase()
-		saved := short.saved
+		saved := short.savedVersion
 		term.mu.Unlock()
 		assert.Equal(t, phase, job.Placed)
 		assert.Assert(t, saved > 0, "the placement is committed")
@@ -65,14 +65,14 @@
 func TestUrgentJobsAreCommittedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		term := testTerm(t, kvtest.New())
-		batch := term.benchJob(1, job.Step{Count: 1})
+		batch := term.addTestJob(1, job.Step{Count: 1})
 		queue := job.Queue{Service: testService, Priority: 2}
 		term.jobs[batch.job.ID()].job = job.New(batch.job.ID(), *batch.job.Spec(), queue, time.Now())
-		first, second := term.benchJob(9, job.Step{Count: 1}), term.benchJob(3, job.Step{Count: 1})
-		term.touch(batch)
-		term.touch(first)
-		term.touch(second)
-		term.touch(first)
-		assert.DeepEqual(t, term.dirtyInOrder(), []job.ID{first.job.ID(), second.job.ID(), batch.job.ID()})
+		first, second := term.addTestJob(9, job.Step{Count: 1}), term.addTestJob(3, job.Step{Count: 1})
+		term.markDirty(batch)
+		term.markDirty(first)
+		term.markDirty(second)
+		term.markDirty(first)
+		assert.DeepEqual(t, term.sortedDirty(), []job.ID{first.job.ID(), second.job.ID(), batch.job.ID()})
 	})
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -29,7 +29,7 @@
 	kind := fault.KindOf(err)
 	answer := kind.Answer()
 	detail := errorDetail{Kind: kind.String(), Message: err.Error(), Ran: string(answer.Ran())}
-	if answer.Returns() {
+	if answer.HasRetryAfter() {
 		after := fault.RetryAfter(err)
 		detail.RetryAfterMillis = after.Milliseconds()
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfterSeconds(after))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -11,7 +11,7 @@
 
 	"github.com/saffronpulley/saffronpulley/internal/catalog"
 	"github.com/saffronpulley/saffronpulley/internal/idempotency"
-	"github.com/saffronpulley/saffronpulley/internal/lead"
+	"github.com/saffronpulley/saffronpulley/internal/leader"
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 	"github.com/saffronpulley/saffronpulley/internal/metric"
 	"github.com/saffronpulley/saffronpulley/internal/routing"
@@ -68,7 +68,7 @@
 	refusals *rate.Limiter
 
 	mu      sync.Mutex
-	budgets map[string]*routing.Budget
+	budgets map[string]*routing.RetryBudget
 }
 
 // New returns an entry that has not begun.
@@ -76,9 +76,9 @@
 	e := &Entry{
 		Config:  config,
 		catalog: catalog.New(config.Hall),
-		rows:    store.NewDocument(config.Store, lead.TableKey, lead.TableCodec()),
+		rows:    store.NewDocument(config.Store, leader.TableKey, leader.TableCodec()),
 		done:    make(chan struct{}),
-		budgets: make(map[string]*routing.Budget),
+		budgets: make(map[string]*routing.RetryBudget),
 		numbers: newRequestNumbers(config.ID),
 
 		refusals: rate.NewLimiter(refusalsPerSecond, refusalsPerSecond),
@@ -164,14 +164,14 @@
 func (e *Entry) countRequest(service string, percent int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budget(service).Request(percent)
+	e.budget(service).AddRequest(percent)
 }
 
 // budget returns the retry budget of a service; e.mu is held.
-func (e *Entry) budget(service string) *routing.Budget {
+func (e *Entry) budget(service string) *routing.RetryBudget {
 	b, ok := e.budgets[service]
 	if !ok {
-		b = &routing.Budget{}
+		b = &routing.RetryBudget{}
 		e.budgets[service] = b
 	}
 	return b
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -60,7 +60,7 @@
 	if time.Until(r.deadline) <= 0 {
 		return fault.New(fault.DeadlineExceeded, "no endpoint of %s took the request before its deadline", r.service)
 	}
-	return fault.New(fault.Unavailable, "%s has no endpoint for now", r.service).After(noEndpoint)
+	return fault.New(fault.Unavailable, "%s has no endpoint for now", r.service).WithRetryAfter(noEndpoint)
 }
 
 // pick chooses an endpoint that was not tried yet; where all are closed, one on probation is better than none.
@@ -187,7 +187,7 @@
 func readRefusal(in *fasthttp.Response, kind string) error {
 	refusal := fault.New(fault.ParseKind(kind), "%s", in.Body())
 	if millis, err := strconv.Atoi(string(in.Header.Peek(control.HeaderRetryAfter))); err == nil {
-		return refusal.After(time.Duration(millis) * time.Millisecond)
+		return refusal.WithRetryAfter(time.Duration(millis) * time.Millisecond)
 	}
 	return refusal
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -27,8 +27,8 @@
 	return &Error{kind: kind, cause: errors.WithMessage(err, message)}
 }
 
-// After returns a copy of the error that tells the caller to come back after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of the error that tells the caller to come back after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
 	return &c
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -79,8 +79,8 @@
 // Ran returns whether the work is known not to have run.
 func (a Answer) Ran() Ran { return a.ran }
 
-// Returns reports whether the caller should come back, so that the answer carries Retry-After.
-func (a Answer) Returns() bool { return a.returns }
+// HasRetryAfter reports whether the caller should come back, so that the answer carries Retry-After.
+func (a Answer) HasRetryAfter() bool { return a.returns }
 
 // ParseKind returns the kind with the given name, or Internal for a name that is not on the list.
 func ParseKind(name string) Kind {
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -56,7 +56,7 @@
 type entry struct {
 	address    string
 	client     *client
-	lead       *follow.Follower[record.Lead]
+	lead       *follow.Follower[record.Leader]
 	dispatcher *dispatch.Dispatcher
 	store      *relay.Store
 	end        func()
@@ -106,7 +106,7 @@
 
 func (f *fleet) newEntry(i int) *entry {
 	e := &entry{address: addressOf(i), client: f.newClient()}
-	e.lead = follow.New(e.client, record.LeadKey, record.DecodeLead, logging.Discard())
+	e.lead = follow.New(e.client, record.LeaderKey, record.DecodeLeader, logging.Discard())
 	return e
 }
 
@@ -123,7 +123,7 @@
 	}
 	e.store = relay.New(e.client, health, pool)
 	e.dispatcher = dispatch.New(dispatch.Config{
-		Node: e.address, Boot: e.address, Address: e.address, Strength: strength, Store: e.client, Health: health, Lead: e.lead,
+		Node: e.address, Boot: e.address, Address: e.address, Strength: strength, Store: e.client, Health: health, Leader: e.lead,
 		Policies: policies, Closures: hall.New(e.client, "closed/", closedWithin, clock, logger), Uptime: clock, Logger: logger, Metrics: metric.New(),
 	})
 	desk := intake.New(intake.Config{
@@ -152,7 +152,7 @@
 	r := runner.New(runner.Config{
 		VM: fmt.Sprintf("vm-%04d", i), ClosedWithin: closedWithin, LongestHold: longestHold, Worker: a.worker,
 		Store: relay.New(a.client, a.client.health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: f.network.dial,
-		Uptime: &boottimetest.Clock{}, Draw: draw.Float64, Logger: logging.Discard(), Metrics: metric.New(),
+		Uptime: &boottimetest.Clock{}, Random: draw.Float64, Logger: logging.Discard(), Metrics: metric.New(),
 	})
 	return a, func() {
 		go func() { _ = r.Run(f.ctx) }()
@@ -165,7 +165,7 @@
 // leader returns the entry that leads, nil where none does.
 func (f *fleet) leader() *entry {
 	for _, e := range f.entries {
-		if e.dispatcher != nil && e.dispatcher.Leads() {
+		if e.dispatcher != nil && e.dispatcher.IsLeader() {
 			return e
 		}
 	}
@@ -232,8 +232,8 @@
 	return w.fence
 }
 
-// Hold implements host.Worker.
-func (w *idleWorker) Hold(ctx context.Context, _ incarnation.ID, h host.Hold) (host.View, host.Refusal, error) {
+// Renew implements host.Worker.
+func (w *idleWorker) Renew(ctx context.Context, _ incarnation.ID, h host.Renewal) (host.View, host.Refusal, error) {
 	w.mu.Lock()
 	w.fence = max(w.fence, h.Fence)
 	w.mu.Unlock()
@@ -260,5 +260,5 @@
 	return host.Accepted, nil
 }
 
-// Limit implements host.Worker.
-func (*idleWorker) Limit(int) {}
+// LimitConnections implements host.Worker.
+func (*idleWorker) LimitConnections(int) {}
--- a/internal/fleettest/scale_test.go
+++ b/internal/fleettest/scale_test.go
@@ -121,7 +121,7 @@
 			go func() {
 				ctx, cancel := context.WithTimeout(f.ctx, 2*time.Second)
 				defer cancel()
-				_, err := e.store.Get(ctx, record.ChainKey)
+				_, err := e.store.Get(ctx, record.LastCommitKey)
 				answers <- err
 			}()
 			time.Sleep(25 * time.Millisecond)
--- a/internal/gate/replica.go
+++ b/internal/gate/replica.go
@@ -80,7 +80,7 @@
 	case admission.Refuse:
 		after := r.limiter.RetryAfter(rand.Float64())
 		r.mu.Unlock()
-		return fault.New(fault.Overloaded, "%s cannot run the request within its deadline", r.service).After(after)
+		return fault.New(fault.Overloaded, "%s cannot run the request within its deadline", r.service).WithRetryAfter(after)
 	}
 	turn := make(chan struct{})
 	r.queue = append(r.queue, turn)
@@ -104,7 +104,7 @@
 			r.queue = append(r.queue[:i], r.queue[i+1:]...)
 			r.limiter.Abandon()
 			return fault.New(fault.DeadlineExceeded, "the request waited for %s until its deadline", r.service).
-				After(r.limiter.RetryAfter(rand.Float64()))
+				WithRetryAfter(r.limiter.RetryAfter(rand.Float64()))
 		}
 	}
 	// The turn came at the same moment; it is given to the next.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -18,14 +18,14 @@
 
 // The refusals of a worker.
 const (
-	Accepted      Refusal = iota // accepted
-	RefusedFence                 // fence
-	RefusedOld                   // old
-	RefusedLate                  // late
-	RefusedRoom                  // room
-	RefusedAdvice                // ticket
-	RefusedWrong                 // wrong
-	RefusedBusy                  // busy
+	Accepted        Refusal = iota // accepted
+	RefusedFence                   // fence
+	RefusedOld                     // old
+	RefusedLate                    // late
+	RefusedCapacity                // room
+	RefusedTicket                  // ticket
+	RefusedInvalid                 // wrong
+	RefusedBusy                    // busy
 )
 
 // ParseRefusal returns the refusal of a name; an unknown name is RefusedWrong.
@@ -35,7 +35,7 @@
 			return r
 		}
 	}
-	return RefusedWrong
+	return RefusedInvalid
 }
 
 // Run is one start of a task.
@@ -61,13 +61,13 @@
 	Checkpoint string
 	// Percent is how much of its work is done, or 100 for a lasting task that is at work.
 	Percent int
-	// Figure is the tail latency in milliseconds for a task that serves, else the thousandths of a core in use.
-	Figure int
+	// Measurement is the tail latency in milliseconds for a task that serves, else the thousandths of a core in use.
+	Measurement int
 }
 
-// Ended is the end of a run, numbered from 1 within an incarnation of the worker.
-type Ended struct {
-	Number     uint64
+// EndedRun is the end of a run, numbered from 1 within an incarnation of the worker.
+type EndedRun struct {
+	Sequence   uint64
 	Run        Run
 	End        job.End
 	Checkpoint string
@@ -78,14 +78,14 @@
 	// Incarnation is the one that answered, which may be a later one than was called.
 	Incarnation incarnation.ID
 	Running     []Running
-	Ended       []Ended
+	Ended       []EndedRun
 	Clock       Clock
 }
 
-// Hold renews the time of all that runs, lets ends up to Seen go, and asks for what runs.
-type Hold struct {
-	Fence uint64
-	Seen  uint64
+// Renewal renews the time of all that runs, lets ends up to Seen go, and asks for what runs.
+type Renewal struct {
+	Fence        uint64
+	Acknowledged uint64
 	// Until is a time on the worker's clock, 0 to renew nothing.
 	Until Clock
 	// Wait is how long the answer may wait for an end.
@@ -117,8 +117,8 @@
 	Stop(ctx context.Context, id incarnation.ID, run Run, fence uint64) (Refusal, error)
 	// Pace sets the part of the processors, in percent, that a run may use of what it asks for.
 	Pace(ctx context.Context, id incarnation.ID, run Run, percent int, fence uint64) (Refusal, error)
-	// Limit bounds the connections that the worker is sent orders over, to what it takes at once.
-	Limit(connections int)
-	// Hold renews what runs and returns what the worker has.
-	Hold(ctx context.Context, id incarnation.ID, hold Hold) (View, Refusal, error)
+	// LimitConnections bounds the connections that the worker is sent orders over, to what it takes at once.
+	LimitConnections(connections int)
+	// Renew renews what runs and returns what the worker has.
+	Renew(ctx context.Context, id incarnation.ID, hold Renewal) (View, Refusal, error)
 }
