--- a/internal/host/refusal_string.go
+++ b/internal/host/refusal_string.go
@@ -12,9 +12,9 @@
 	_ = x[RefusedFence-1]
 	_ = x[RefusedOld-2]
 	_ = x[RefusedLate-3]
-	_ = x[RefusedRoom-4]
-	_ = x[RefusedAdvice-5]
-	_ = x[RefusedWrong-6]
+	_ = x[RefusedCapacity-4]
+	_ = x[RefusedTicket-5]
+	_ = x[RefusedInvalid-6]
 	_ = x[RefusedBusy-7]
 }
 
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -19,8 +19,8 @@
 // Worker returns the id under which the worker is called, which later incarnations may share.
 func (i ID) Worker() string { return i.worker }
 
-// Born returns the Unix millisecond of the start, 0 where it is not known.
-func (i ID) Born() int64 { return i.born }
+// StartMillis returns the Unix millisecond of the start, 0 where it is not known.
+func (i ID) StartMillis() int64 { return i.born }
 
 // IsZero reports whether this identifies no incarnation.
 func (i ID) IsZero() bool { return i == ID{} }
@@ -28,8 +28,8 @@
 // SameWorker reports whether both are incarnations of one worker, so that a call meant for one may reach the other.
 func (i ID) SameWorker(other ID) bool { return i.worker == other.worker }
 
-// MayBe reports whether both may be one incarnation: processes of the release before leave the time of birth out.
-func (i ID) MayBe(other ID) bool {
+// MayEqual reports whether both may be one incarnation: processes of the release before leave the time of birth out.
+func (i ID) MayEqual(other ID) bool {
 	return i.worker == other.worker && (i.born == other.born || i.born == 0 || other.born == 0)
 }
 
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -36,7 +36,7 @@
 	Health   *kv.Health
 	Pool     *relay.Pool
 	Policies *Policies
-	Lead     *follow.Follower[record.Lead]
+	Lead     *follow.Follower[record.Leader]
 	// Leader tells what this entry has committed where it leads itself.
 	Leader  Leader
 	Logger  logging.Logger
@@ -67,7 +67,7 @@
 func (d *Desk) route(ctx context.Context, a Address) (*policy.Route, string, error) {
 	current := d.config.Policies.Newest()
 	if current == nil {
-		return nil, "", fault.New(fault.Unavailable, "there is no configuration yet").After(retryAfter)
+		return nil, "", fault.New(fault.Unavailable, "there is no configuration yet").WithRetryAfter(retryAfter)
 	}
 	found := current.Route(a.Host, a.Path)
 	if found == nil {
@@ -147,7 +147,7 @@
 	if kind == fault.DeadlineExceeded {
 		kind = fault.OutcomeUnknown
 	}
-	return fault.Wrap(err, kind, "the job was not handled").After(retryAfter)
+	return fault.Wrap(err, kind, "the job was not handled").WithRetryAfter(retryAfter)
 }
 
 func outcome(err error) string {
@@ -262,7 +262,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fault.Wrap(err, fault.Unavailable, "the lead cannot be asked").After(retryAfter)
+			return 0, fault.Wrap(err, fault.Unavailable, "the lead cannot be asked").WithRetryAfter(retryAfter)
 		case <-time.After(waitingPause):
 		}
 	}
--- a/internal/intake/doubts.go
+++ b/internal/intake/doubts.go
@@ -41,7 +41,7 @@
 	if !doubtful || now.Sub(since) > doubtFor {
 		return err
 	}
-	return fault.Wrap(err, fault.OutcomeUnknown, "an earlier attempt may have been taken").After(fault.RetryAfter(err))
+	return fault.Wrap(err, fault.OutcomeUnknown, "an earlier attempt may have been taken").WithRetryAfter(fault.RetryAfter(err))
 }
 
 func (d *doubts) add(id job.ID, now time.Time) {
--- a/internal/intake/doubts_test.go
+++ b/internal/intake/doubts_test.go
@@ -15,7 +15,7 @@
 func TestJobInDoubtIsNeverToldAsNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDoubts()
-		refused := fault.New(fault.Unavailable, "away").After(time.Second)
+		refused := fault.New(fault.Unavailable, "away").WithRetryAfter(time.Second)
 		assert.Assert(t, fault.Is(d.settle("a", refused), fault.Unavailable))
 		assert.Assert(t, fault.Is(d.settle("a", fault.New(fault.OutcomeUnknown, "lost")), fault.OutcomeUnknown))
 		assert.Assert(t, fault.Is(d.settle("a", refused), fault.OutcomeUnknown))
--- a/internal/intake/leader.go
+++ b/internal/intake/leader.go
@@ -39,11 +39,11 @@
 			if leads {
 				return p.leaderAnswer(value.Held), nil
 			}
-			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "this entry knows of no leader").After(leaderRetry)
+			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "this entry knows of no leader").WithRetryAfter(leaderRetry)
 		}
 	}
 }
 
-func (p *Pinger) leaderAnswer(lead record.Lead) link.LeaderAnswer {
-	return link.LeaderAnswer{Node: lead.Node, Address: lead.Address, Epoch: lead.Epoch, Agents: int(p.agents.Load())}
+func (p *Pinger) leaderAnswer(lead record.Leader) link.LeaderAnswer {
+	return link.LeaderAnswer{Node: lead.Process, Address: lead.Address, Epoch: lead.Epoch, Agents: int(p.agents.Load())}
 }
--- a/internal/intake/leader_test.go
+++ b/internal/intake/leader_test.go
@@ -18,7 +18,7 @@
 
 // knowing returns a pinger of an entry that knows a leader, or none.
 func knowing(epoch uint64) *Pinger {
-	followed := follow.New(kvtest.New(), record.LeadKey, record.DecodeLead, logging.Discard())
+	followed := follow.New(kvtest.New(), record.LeaderKey, record.DecodeLeader, logging.Discard())
 	p := &Pinger{desk: &Desk{config: Config{Lead: followed}}}
 	if epoch > 0 {
 		p.elect(epoch)
@@ -28,7 +28,7 @@
 
 // elect lets the entry learn of a leader.
 func (p *Pinger) elect(epoch uint64) {
-	p.desk.config.Lead.Offer(follow.Value[record.Lead]{Held: record.Lead{Node: "n", Address: "a", Epoch: epoch}, Revision: kv.Revision(epoch)})
+	p.desk.config.Lead.Offer(follow.Value[record.Leader]{Held: record.Leader{Process: "n", Address: "a", Epoch: epoch}, Revision: kv.Revision(epoch)})
 }
 
 // TestQuestionForALaterLeaderIsHeld until there is one, so that agents neither poll nor read the store.
--- a/internal/intake/pinger.go
+++ b/internal/intake/pinger.go
@@ -38,14 +38,14 @@
 
 // Successor stands for the lead in place of one that is gone.
 type Successor interface {
-	// Leads reports whether this entry leads.
-	Leads() bool
-	// Suspect says that the lead of an epoch may be replaced.
-	Suspect(epoch uint64, reason string)
-	// Succeed says that the leader of an epoch asks this entry to lead.
-	Succeed(epoch uint64)
-	// Rank stores the place of this entry among those that may lead next, 0 for none.
-	Rank(place int)
+	// IsLeader reports whether this entry leads.
+	IsLeader() bool
+	// SuspectLeader says that the lead of an epoch may be replaced.
+	SuspectLeader(epoch uint64, reason string)
+	// TakeOver says that the leader of an epoch asks this entry to lead.
+	TakeOver(epoch uint64)
+	// SetRank stores the place of this entry among those that may lead next, 0 for none.
+	SetRank(place int)
 }
 
 // Pinger tells the lead of an entry, and hears from it of the configuration, of other entries and of the store.
@@ -82,7 +82,7 @@
 // Register adds the methods by which the lead says at once that the store is away or back, and agents learn who leads.
 func (p *Pinger) Register(m *rpc.Mux) {
 	rpc.Handle(m, link.MethodStore, func(context.Context, *rpc.Peer, link.Empty) (link.Empty, error) {
-		wait.Wake(p.told)
+		wait.Notify(p.told)
 		return link.Empty{}, nil
 	})
 	rpc.Handle(m, link.MethodLeader, p.leader)
@@ -97,7 +97,7 @@
 			p.desk.logger.Debug("the lead was not reached: %v", err)
 			p.lost(ctx, err)
 		}
-		if !p.successor.Leads() {
+		if !p.successor.IsLeader() {
 			p.reconfirm(ctx)
 		}
 		pause := pingEvery
@@ -122,7 +122,7 @@
 func (p *Pinger) ask(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, probePatience)
 	defer cancel()
-	_, err := p.desk.config.Direct.Get(bounded, record.ChainKey)
+	_, err := p.desk.config.Direct.Get(bounded, record.LastCommitKey)
 	return err
 }
 
@@ -133,7 +133,7 @@
 	if !known || lead.Revision == 0 || lead.Held.Address == p.self.Address {
 		p.desk.leaderAnswers.Store(false)
 		p.back()
-		if known && lead.Revision != 0 && !p.successor.Leads() {
+		if known && lead.Revision != 0 && !p.successor.IsLeader() {
 			p.askWhoLeads(ctx)
 		}
 		return nil, nil
@@ -148,7 +148,7 @@
 	if err != nil {
 		p.desk.leaderAnswers.Store(false)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.successor.Suspect(lead.Held.Epoch, "its VM refuses connections")
+			p.successor.SuspectLeader(lead.Held.Epoch, "its VM refuses connections")
 		}
 		return nil, err
 	}
@@ -165,9 +165,9 @@
 	p.agents.Store(int64(answer.Agents))
 	config.Pool.Learn(answer.Entries)
 	p.list, p.listEpoch = answer.List, lead.Held.Epoch
-	config.Policies.Take(answer.Offer)
+	config.Policies.Accept(answer.Offer)
 	p.sendValue = answer.Revision != 0 && answer.Revision < own.Revision
-	p.successor.Rank(answer.Rank)
+	p.successor.SetRank(answer.Rank)
 	p.vouch(answer)
 	p.heed(ctx, lead.Held.Epoch, answer)
 	return peer.Done(), nil
@@ -176,7 +176,7 @@
 // vouch lets this entry ask the store less often for what its leader has just confirmed.
 func (p *Pinger) vouch(answer link.PingAnswer) {
 	p.confirmed = time.Now()
-	if answer.Doubtful || answer.StoreDown {
+	if answer.Unverified || answer.StoreDown {
 		return
 	}
 	p.desk.config.Lead.Vouch()
@@ -234,27 +234,27 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, askPatience)
 	defer cancel()
-	item, err := p.desk.config.Store.Get(bounded, record.LeadKey)
+	item, err := p.desk.config.Store.Get(bounded, record.LeaderKey)
 	if err != nil || item.Revision() == 0 {
 		return
 	}
-	if held, err := record.DecodeLead(item.Value()); err == nil {
-		p.desk.config.Lead.Offer(follow.Value[record.Lead]{Held: held, Revision: item.Revision()})
+	if held, err := record.DecodeLeader(item.Value()); err == nil {
+		p.desk.config.Lead.Offer(follow.Value[record.Leader]{Held: held, Revision: item.Revision()})
 	}
 }
 
 // heed acts on what the lead knows of the store.
 func (p *Pinger) heed(ctx context.Context, epoch uint64, answer link.PingAnswer) {
 	switch {
-	case answer.Succeed:
-		p.successor.Succeed(epoch)
+	case answer.TakeOver:
+		p.successor.TakeOver(epoch)
 		p.back()
 	case answer.StoreDown:
 		p.probe(ctx)
 	case answer.Probe:
 		p.back()
 		if p.ask(ctx) == nil {
-			wait.Wake(p.told)
+			wait.Notify(p.told)
 		}
 	default:
 		p.back()
--- a/internal/intake/pinger_test.go
+++ b/internal/intake/pinger_test.go
@@ -71,16 +71,16 @@
 	epochs []uint64
 }
 
-func (s *suspicions) Leads() bool { return false }
+func (s *suspicions) IsLeader() bool { return false }
 
-func (s *suspicions) Rank(int) {}
+func (s *suspicions) SetRank(int) {}
 
 // JobState implements Leader; this entry does not lead.
 func (s *suspicions) JobState(job.ID) (job.State, bool) { return job.Queued, false }
 
-func (s *suspicions) Succeed(epoch uint64) { s.Suspect(epoch, "") }
+func (s *suspicions) TakeOver(epoch uint64) { s.SuspectLeader(epoch, "") }
 
-func (s *suspicions) Suspect(epoch uint64, _ string) {
+func (s *suspicions) SuspectLeader(epoch uint64, _ string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epochs = append(s.epochs, epoch)
@@ -146,8 +146,8 @@
 	address, end := e.lead.serve(t)
 	e.endLead = end
 	pool := relay.NewPool("self", secret, rpc.NewMux(timeline.NewClock(time.Now)), nil)
-	followed := follow.New(e.store, record.LeadKey, record.DecodeLead, logging.Discard())
-	followed.Offer(follow.Value[record.Lead]{Held: record.Lead{Node: "lead", Address: address, Epoch: 7}, Revision: 1})
+	followed := follow.New(e.store, record.LeaderKey, record.DecodeLeader, logging.Discard())
+	followed.Offer(follow.Value[record.Leader]{Held: record.Leader{Process: "lead", Address: address, Epoch: 7}, Revision: 1})
 	decode := func([]byte) (*policy.Policy, error) { return nil, fault.New(fault.BadInput, "none") }
 	desk := New(Config{
 		Store: relay.New(e.store, health, pool), Direct: e.store, Health: health, Pool: pool, Lead: followed, Leader: e.suspected,
@@ -173,7 +173,7 @@
 	// refuses reports whether a caller is refused without a call to the store.
 	refuses := func() bool {
 		before := e.store.calls()
-		_, err := e.desk.config.Store.Get(t.Context(), record.ChainKey)
+		_, err := e.desk.config.Store.Get(t.Context(), record.LastCommitKey)
 		return fault.Is(err, fault.Unavailable) && e.store.calls() == before
 	}
 	e.lead.set(link.PingAnswer{StoreDown: true}, nil)
@@ -192,11 +192,11 @@
 // TestEntryTurnedAwayFindsTheNextLeadThroughOthers failed with the earlier lead, to which the entry kept for nine seconds.
 func TestEntryTurnedAwayFindsTheNextLeadThroughOthers(t *testing.T) {
 	e := newEntry(t)
-	next, err := record.Encode(record.Lead{Node: "next", Address: "127.0.0.1:1", Epoch: 8})
+	next, err := record.Encode(record.Leader{Process: "next", Address: "127.0.0.1:1", Epoch: 8})
 	assert.NilError(t, err)
-	_, err = e.store.Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: "other"}, {Key: record.LeadKey, Value: next}}})
+	_, err = e.store.Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: "other"}, {Key: record.LeaderKey, Value: next}}})
 	assert.NilError(t, err)
-	_, err = e.store.Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: record.LeadKey, Value: next}}})
+	_, err = e.store.Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: record.LeaderKey, Value: next}}})
 	assert.NilError(t, err)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -229,7 +229,7 @@
 
 func TestEntryThatIsToLeadStandsForIt(t *testing.T) {
 	e := newEntry(t)
-	e.lead.set(link.PingAnswer{Succeed: true}, nil)
+	e.lead.set(link.PingAnswer{TakeOver: true}, nil)
 	assert.NilError(t, e.pinged(t))
 	assert.DeepEqual(t, e.suspected.epochs, []uint64{7})
 }
--- a/internal/intake/policies.go
+++ b/internal/intake/policies.go
@@ -59,8 +59,8 @@
 	return link.Offer{Revision: uint64(value.Revision), Value: value.Held.raw}
 }
 
-// Take keeps an offer unless a newer one is known.
-func (p *Policies) Take(offer link.Offer) {
+// Accept keeps an offer unless a newer one is known.
+func (p *Policies) Accept(offer link.Offer) {
 	value, _ := p.follower.Value()
 	if len(offer.Value) == 0 || kv.Revision(offer.Revision) <= value.Revision {
 		return
--- a/internal/interference/interference.go
+++ b/internal/interference/interference.go
@@ -177,14 +177,14 @@
 	return priorMean
 }
 
-// Harm returns an upper bound of the slowdown that a batch workload with a share of the VM's processors causes; with
+// SlowdownBound returns an upper bound of the slowdown that a batch workload with a share of the VM's processors causes; with
 // less seen the bound is higher.
-func (m *Model) Harm(service, batch string, band Band, share float64, now time.Time) float64 {
+func (m *Model) SlowdownBound(service, batch string, band Band, share float64, now time.Time) float64 {
 	b := m.at(NewKey(service, batch, band), now)
 	return (b.mean + spread/math.Sqrt(b.weight)) * share
 }
 
-// Mean returns the slowdown believed of a batch workload that takes all processors of the VM.
-func (m *Model) Mean(service, batch string, band Band, now time.Time) float64 {
+// MeanSlowdown returns the slowdown believed of a batch workload that takes all processors of the VM.
+func (m *Model) MeanSlowdown(service, batch string, band Band, now time.Time) float64 {
 	return m.at(NewKey(service, batch, band), now).mean
 }
--- a/internal/interference/interference_test.go
+++ b/internal/interference/interference_test.go
@@ -22,9 +22,9 @@
 	observe(m, 20, 10*time.Millisecond)
 	observe(m, 100, 10*time.Millisecond, sync)
 	observe(m, 100, 14*time.Millisecond, mailing, sync)
-	assert.Assert(t, m.Mean("lookups", "mailing", 1, start) > 0.7)
-	assert.Assert(t, m.Mean("lookups", "sync", 1, start) < 0.3)
-	assert.Assert(t, m.Harm("lookups", "mailing", 1, 0.4, start) > m.Mean("lookups", "mailing", 1, start)*0.4)
+	assert.Assert(t, m.MeanSlowdown("lookups", "mailing", 1, start) > 0.7)
+	assert.Assert(t, m.MeanSlowdown("lookups", "sync", 1, start) < 0.3)
+	assert.Assert(t, m.SlowdownBound("lookups", "mailing", 1, 0.4, start) > m.MeanSlowdown("lookups", "mailing", 1, start)*0.4)
 }
 
 // A frozen VM once taught the model that its batch tasks slow lookups a thousand times; nothing was placed again.
@@ -33,16 +33,16 @@
 	mailing := NewNeighbor("mailing", 0.4)
 	observe(m, 20, 10*time.Millisecond)
 	observe(m, 2, 3*time.Second, mailing)
-	assert.Assert(t, m.Mean("lookups", "mailing", 1, start) < 5)
+	assert.Assert(t, m.MeanSlowdown("lookups", "mailing", 1, start) < 5)
 	observe(m, 50, 10*time.Millisecond, mailing)
-	assert.Assert(t, m.Mean("lookups", "mailing", 1, start) < 0.3)
+	assert.Assert(t, m.MeanSlowdown("lookups", "mailing", 1, start) < 0.3)
 }
 
 func TestWhatIsNotSeenFades(t *testing.T) {
 	m := New()
 	observe(m, 20, 10*time.Millisecond)
 	observe(m, 50, 25*time.Millisecond, NewNeighbor("mailing", 0.4))
-	high := m.Mean("lookups", "mailing", 1, start)
-	later := m.Mean("lookups", "mailing", 1, start.Add(4*halfLife))
+	high := m.MeanSlowdown("lookups", "mailing", 1, start)
+	later := m.MeanSlowdown("lookups", "mailing", 1, start.Add(4*halfLife))
 	assert.Assert(t, high > 2 && later < 0.5, "%f, then %f", high, later)
 }
--- a/internal/job/advance.go
+++ b/internal/job/advance.go
@@ -42,21 +42,21 @@
 	return true
 }
 
-// Ended takes note of the end of a run and reports whether anything changed.
-func (j *Job) Ended(t TaskID, run int, end End, checkpoint string) bool {
+// RecordEnd takes note of the end of a run and reports whether anything changed.
+func (j *Job) RecordEnd(t TaskID, run int, end End, checkpoint string) bool {
 	task := j.Task(t)
 	if task == nil || task.run != run || task.phase == Done {
 		return false
 	}
 	step := &j.spec.Steps[t.Step]
-	if task.phase == Waiting && (end != EndDone || step.Lasting) {
+	if task.phase == Waiting && (end != EndDone || step.LongRunning) {
 		return false
 	}
 	if checkpoint != "" {
 		task.checkpoint = checkpoint
 	}
 	switch {
-	case step.Lasting:
+	case step.LongRunning:
 		task.phase = Waiting
 	case end == EndDone:
 		j.finish(t, step)
@@ -71,7 +71,7 @@
 
 // finish marks the task as done, and all of a gang by one end.
 func (j *Job) finish(t TaskID, step *Step) {
-	tasks := j.tasks[t.Time][t.Step]
+	tasks := j.tasks[t.Iteration][t.Step]
 	for i := range tasks {
 		if (step.Gang || i == t.Index) && tasks[i].phase != Done {
 			tasks[i].phase = Done
@@ -82,9 +82,9 @@
 
 // fail counts the failure, for a gang as that of all its members.
 func (j *Job) fail(t TaskID, step *Step) {
-	counted := &j.tasks[t.Time][t.Step][t.Index]
+	counted := &j.tasks[t.Iteration][t.Step][t.Index]
 	if step.Gang {
-		counted = &j.tasks[t.Time][t.Step][0]
+		counted = &j.tasks[t.Iteration][t.Step][0]
 	}
 	counted.failures++
 	if counted.failures >= max(j.queue.Attempts, 1) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Save takes note of a checkpoint of a running task and reports whether it is new.
-func (j *Job) Save(t TaskID, run int, checkpoint string) bool {
+// RecordCheckpoint takes note of a checkpoint of a running task and reports whether it is new.
+func (j *Job) RecordCheckpoint(t TaskID, run int, checkpoint string) bool {
 	task := j.Task(t)
 	if task == nil || task.phase != Placed || task.run != run || checkpoint == "" || task.checkpoint == checkpoint {
 		return false
@@ -113,7 +113,7 @@
 
 // Cancel ends the job unless it has ended and reports whether it did.
 func (j *Job) Cancel() bool {
-	if j.State().Final() {
+	if j.State().IsFinal() {
 		return false
 	}
 	j.canceled = true
@@ -125,7 +125,7 @@
 	for k := range j.tasks {
 		for n := range j.tasks[k] {
 			for i := range j.tasks[k][n] {
-				visit(TaskID{Job: j.id, Time: k, Step: n, Index: i}, &j.tasks[k][n][i])
+				visit(TaskID{Job: j.id, Iteration: k, Step: n, Index: i}, &j.tasks[k][n][i])
 			}
 		}
 	}
--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -60,20 +60,20 @@
 // Encode returns the accepted job as it is stored.
 func Encode(spec Spec, queue Queue, accepted time.Time) ([]byte, error) {
 	stored := storedJob{
-		Text: spec.Text, Times: spec.Times, Interval: spec.Interval.Milliseconds(), Accepted: accepted.UnixMilli(),
+		Text: spec.Text, Times: spec.Iterations, Interval: spec.Interval.Milliseconds(), Accepted: accepted.UnixMilli(),
 		Queue: storedQueue{
 			Name: queue.Name, Service: queue.Service, Priority: queue.Priority, Attempts: queue.Attempts,
 			Stretch: queue.Stretch, Target: queue.Target.Milliseconds(), Advised: queue.Advised,
 		},
 	}
-	if spec.Times > 0 {
+	if spec.Iterations > 0 {
 		stored.Start = spec.Start.UnixMilli()
 	}
 	for _, s := range spec.Steps {
 		stored.Steps = append(stored.Steps, storedStep{
 			Count: s.Count, CPU: s.Size.CPU, Memory: s.Size.Memory, GPU: s.Size.GPU, Estimate: s.Estimate.Milliseconds(),
 			DependsOn: s.DependsOn, Flags: flagsOf(s), Requires: s.Requires, Affinity: s.Affinity,
-			AntiAffinity: s.AntiAffinity, Image: s.Image, Target: s.Target.Microseconds(), MayMiss: s.MayMiss,
+			AntiAffinity: s.AntiAffinity, Image: s.Image, Target: s.Target.Microseconds(), MayMiss: s.MaxUnavailable,
 		})
 	}
 	return cbor.Marshal(stored)
@@ -83,7 +83,7 @@
 	var flags uint
 	for flag, set := range map[uint]bool{
 		flagCheckpoints: s.Checkpoints, flagGang: s.Gang, flagSameRack: s.SameRack,
-		flagSpeculative: s.Speculative, flagLasting: s.Lasting, flagFills: s.Fills,
+		flagSpeculative: s.Speculative, flagLasting: s.LongRunning, flagFills: s.BestEffort,
 	} {
 		if set {
 			flags |= flag
@@ -98,7 +98,7 @@
 	if err := cbor.Unmarshal(data, &stored); err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "the record of job "+string(id)+" cannot be read")
 	}
-	spec := Spec{Text: stored.Text, Times: stored.Times, Interval: millis(stored.Interval)}
+	spec := Spec{Text: stored.Text, Iterations: stored.Times, Interval: millis(stored.Interval)}
 	if stored.Times > 0 {
 		spec.Start = time.UnixMilli(stored.Start)
 	}
@@ -107,8 +107,8 @@
 			Count: s.Count, Size: Size{CPU: s.CPU, Memory: s.Memory, GPU: s.GPU}, Estimate: millis(s.Estimate),
 			DependsOn: s.DependsOn, Checkpoints: s.Flags&flagCheckpoints != 0, Gang: s.Flags&flagGang != 0,
 			SameRack: s.Flags&flagSameRack != 0, Speculative: s.Flags&flagSpeculative != 0,
-			Lasting: s.Flags&flagLasting != 0, Fills: s.Flags&flagFills != 0, Requires: s.Requires,
-			Affinity: s.Affinity, AntiAffinity: s.AntiAffinity, Image: s.Image, Target: time.Duration(s.Target) * time.Microsecond, MayMiss: s.MayMiss,
+			LongRunning: s.Flags&flagLasting != 0, BestEffort: s.Flags&flagFills != 0, Requires: s.Requires,
+			Affinity: s.Affinity, AntiAffinity: s.AntiAffinity, Image: s.Image, Target: time.Duration(s.Target) * time.Microsecond, MaxUnavailable: s.MayMiss,
 		})
 	}
 	if err := spec.Check(); err != nil {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -35,7 +35,7 @@
 // New returns a job that was accepted at a time and of which nothing has begun.
 func New(id ID, spec Spec, queue Queue, accepted time.Time) *Job {
 	j := &Job{id: id, spec: spec, queue: queue, accepted: accepted}
-	j.tasks = make([][][]Task, max(spec.Times, 1))
+	j.tasks = make([][][]Task, max(spec.Iterations, 1))
 	for k := range j.tasks {
 		j.tasks[k] = make([][]Task, len(spec.Steps))
 		for n, step := range spec.Steps {
@@ -58,16 +58,16 @@
 // Accepted returns when the job was accepted, by the clock of the entry that did.
 func (j *Job) Accepted() time.Time { return j.accepted }
 
-// Times returns how many times the steps run.
-func (j *Job) Times() int { return len(j.tasks) }
+// Iterations returns how many times the steps run.
+func (j *Job) Iterations() int { return len(j.tasks) }
 
 // Task returns a task of the job, nil if it has no such task.
 func (j *Job) Task(t TaskID) *Task {
-	if t.Job != j.id || t.Time < 0 || t.Time >= len(j.tasks) || t.Step < 0 || t.Step >= len(j.tasks[t.Time]) ||
-		t.Index < 0 || t.Index >= len(j.tasks[t.Time][t.Step]) {
+	if t.Job != j.id || t.Iteration < 0 || t.Iteration >= len(j.tasks) || t.Step < 0 || t.Step >= len(j.tasks[t.Iteration]) ||
+		t.Index < 0 || t.Index >= len(j.tasks[t.Iteration][t.Step]) {
 		return nil
 	}
-	return &j.tasks[t.Time][t.Step][t.Index]
+	return &j.tasks[t.Iteration][t.Step][t.Index]
 }
 
 // Tasks returns the tasks of a step of one time; they are not to be changed.
@@ -90,14 +90,14 @@
 
 // Due returns when a time of the job may begin.
 func (j *Job) Due(k int) time.Time {
-	if j.spec.Times == 0 {
+	if j.spec.Iterations == 0 {
 		return j.accepted
 	}
 	return j.spec.Start.Add(time.Duration(k) * j.spec.Interval)
 }
 
-// Open reports whether the steps before a step are done, so that its tasks may start once its time is due.
-func (j *Job) Open(k, step int) bool {
+// DependenciesDone reports whether the steps before a step are done, so that its tasks may start once its time is due.
+func (j *Job) DependenciesDone(k, step int) bool {
 	for _, d := range j.spec.Steps[step].DependsOn {
 		if !j.stepDone(k, d) {
 			return false
@@ -118,11 +118,11 @@
 
 // Objective returns how long a time of the job may take to earn its whole worth, by its estimates.
 func (j *Job) Objective() time.Duration {
-	return time.Duration(j.queue.Stretch*float64(j.spec.Chain())) + j.queue.Target
+	return time.Duration(j.queue.Stretch*float64(j.spec.CriticalPath())) + j.queue.Target
 }
 
-// Remaining returns the longest time that what is not done of time k needs in order, by its estimates.
-func (j *Job) Remaining(k int) time.Duration {
+// RemainingTime returns the longest time that what is not done of time k needs in order, by its estimates.
+func (j *Job) RemainingTime(k int) time.Duration {
 	return j.spec.longest(func(step int) time.Duration {
 		if j.stepDone(k, step) {
 			return 0
@@ -131,8 +131,8 @@
 	})
 }
 
-// Work returns what is not done of time k, in core seconds by its estimates.
-func (j *Job) Work(k int) float64 {
+// RemainingWork returns what is not done of time k, in core seconds by its estimates.
+func (j *Job) RemainingWork(k int) float64 {
 	const thousandths = 1000
 	total := 0.0
 	for n, step := range j.spec.Steps {
--- a/internal/job/names_string.go
+++ b/internal/job/names_string.go
@@ -54,8 +54,8 @@
 	_ = x[EndFailed-1]
 	_ = x[EndStopped-2]
 	_ = x[EndLapsed-3]
-	_ = x[EndBroken-4]
-	_ = x[EndAlone-5]
+	_ = x[EndGangBroken-4]
+	_ = x[EndGangIncomplete-5]
 }
 
 const _End_name = "donefailedstoppedlapsedbrokenalone"
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -109,13 +109,13 @@
 			return
 		}
 		row := storedTask{
-			Time: id.Time, Step: id.Step, Index: id.Index, Phase: int(t.phase), Run: t.run,
+			Time: id.Iteration, Step: id.Step, Index: id.Index, Phase: int(t.phase), Run: t.run,
 			Failures: t.failures, Checkpoint: t.checkpoint,
 		}
 		if t.phase == Placed {
 			if _, known := hosts[t.host]; !known {
 				stored.Hosts = append(stored.Hosts, storedHost{VM: t.host.VM, Instance: t.host.Incarnation.Worker()})
-				births = append(births, storedHost{Instance: strconv.FormatInt(t.host.Incarnation.Born(), 10)})
+				births = append(births, storedHost{Instance: strconv.FormatInt(t.host.Incarnation.StartMillis(), 10)})
 				hosts[t.host] = len(stored.Hosts)
 			}
 			row.Host = hosts[t.host]
@@ -136,10 +136,10 @@
 func (t *Task) suspect(id TaskID) storedSuspect {
 	losses := t.suspicion.Losses()
 	return storedSuspect{
-		Time: id.Time, Step: id.Step, Index: id.Index, Judged: t.judged,
-		Crashes: t.suspicion.Crashes(), Doubts: t.suspicion.Doubts(),
-		Lost: t.lost, Unseen: t.unseen, All: losses.All(), Over: losses.Over(),
-		Alike: losses.Alike(), Blind: losses.Blind(), Longest: losses.Longest().Milliseconds(),
+		Time: id.Iteration, Step: id.Step, Index: id.Index, Judged: t.judged,
+		Crashes: t.suspicion.LikelyCrashes(), Doubts: t.suspicion.PossibleCrashes(),
+		Lost: t.lost, Unseen: t.unseen, All: losses.Total(), Over: losses.Crashed(),
+		Alike: losses.Similar(), Blind: losses.UnknownLifetime(), Longest: losses.LongestLifetime().Milliseconds(),
 	}
 }
 
@@ -181,7 +181,7 @@
 	}
 	hosts := hostsOf(stored.Hosts)
 	for _, row := range stored.Tasks {
-		task := j.Task(TaskID{Job: j.id, Time: row.Time, Step: row.Step, Index: row.Index})
+		task := j.Task(TaskID{Job: j.id, Iteration: row.Time, Step: row.Step, Index: row.Index})
 		if task == nil {
 			return fault.New(fault.Internal, "the progress of job %s names a task that it has not", j.id)
 		}
@@ -195,9 +195,9 @@
 		j.begun = j.begun || task.run > 0
 	}
 	for _, row := range stored.Suspects {
-		if task := j.Task(TaskID{Job: j.id, Time: row.Time, Step: row.Step, Index: row.Index}); task != nil {
+		if task := j.Task(TaskID{Job: j.id, Iteration: row.Time, Step: row.Step, Index: row.Index}); task != nil {
 			losses := crash.NewLosses(row.All, row.Over, row.Alike, row.Blind, millis(row.Longest))
-			task.suspicion = crash.NewSuspicion(row.Crashes, row.Doubts).With(losses)
+			task.suspicion = crash.NewHistory(row.Crashes, row.Doubts).WithLosses(losses)
 			task.judged, task.lost, task.unseen = row.Judged, row.Lost, row.Unseen
 		}
 	}
--- a/internal/job/script_test.go
+++ b/internal/job/script_test.go
@@ -54,7 +54,7 @@
 		count, err := strconv.Atoi(words[1])
 		assert.NilError(t, err, line)
 		if words[0] == "times" {
-			spec.Times, spec.Start, spec.Interval = count, time.Unix(2000, 0), time.Minute
+			spec.Iterations, spec.Start, spec.Interval = count, time.Unix(2000, 0), time.Minute
 			continue
 		}
 		step := Step{Count: count, Estimate: time.Second, Size: Size{CPU: 1000}}
@@ -70,7 +70,7 @@
 			case "gang":
 				step.Gang = true
 			case "lasting":
-				step.Lasting = true
+				step.LongRunning = true
 			case "saves":
 				step.Checkpoints = true
 			default:
@@ -104,7 +104,7 @@
 		if len(words) > 5 {
 			checkpoint = words[5]
 		}
-		assert.Equal(t, j.Ended(task(), number(2), endOf(t, words[3]), checkpoint), yes(4), where)
+		assert.Equal(t, j.RecordEnd(task(), number(2), endOf(t, words[3]), checkpoint), yes(4), where)
 	case "unplace":
 		assert.Equal(t, j.Unplace(task(), number(2)), yes(3), where)
 	case "cancel":
@@ -112,22 +112,22 @@
 	case "state":
 		assert.Equal(t, j.State().String(), words[1], where)
 	case "crash":
-		blame := map[string]crash.Blame{"cleared": crash.Cleared, "possible": crash.Possible, "likely": crash.Likely}[words[3]]
-		assert.Equal(t, j.Crashed(task(), number(2), crash.NewFinding(blame, words[4] == "alone")), yes(5), where)
+		blame := map[string]crash.Attribution{"cleared": crash.NotCause, "possible": crash.PossibleCause, "likely": crash.LikelyCause}[words[3]]
+		assert.Equal(t, j.RecordCrash(task(), number(2), crash.NewFinding(blame, words[4] == "alone")), yes(5), where)
 	case "lost":
-		assert.Equal(t, j.Lost(task(), number(2), lossOf(words[3], time.Duration(number(4))*time.Millisecond)), yes(5), where)
+		assert.Equal(t, j.RecordLoss(task(), number(2), lossOf(words[3], time.Duration(number(4))*time.Millisecond)), yes(5), where)
 	case "settled":
-		assert.Equal(t, j.Settled(task(), number(2), words[3] == "crashed"), yes(4), where)
+		assert.Equal(t, j.ResolveLoss(task(), number(2), words[3] == "crashed"), yes(4), where)
 	case "outlived":
-		assert.Equal(t, j.Outlived(task(), number(2), time.Duration(number(3))*time.Millisecond), yes(4), where)
+		assert.Equal(t, j.RecordRunAge(task(), number(2), time.Duration(number(3))*time.Millisecond), yes(4), where)
 	case "open":
-		assert.Equal(t, j.Open(number(1), number(2)), yes(3), where)
+		assert.Equal(t, j.DependenciesDone(number(1), number(2)), yes(3), where)
 	case "phase":
 		assert.Equal(t, j.Task(task()).Phase().String(), words[2], where)
 	case "checkpoint":
 		assert.Equal(t, j.Task(task()).Checkpoint(), words[2], where)
 	case "remaining":
-		assert.Equal(t, j.Remaining(number(1)), time.Duration(number(2))*time.Second, where)
+		assert.Equal(t, j.RemainingTime(number(1)), time.Duration(number(2))*time.Second, where)
 	case "due":
 		assert.Equal(t, j.Due(number(1)).Unix(), int64(number(2)), where)
 	default:
@@ -138,16 +138,16 @@
 func lossOf(name string, lived time.Duration) crash.Loss {
 	switch name {
 	case "told":
-		return crash.ToldLoss(lived, false)
+		return crash.ReportedLoss(lived, false)
 	case "untold":
-		return crash.UntoldLoss()
+		return crash.UnreportedLoss()
 	}
-	return crash.UnseenLoss()
+	return crash.UnreachableLoss()
 }
 
 func endOf(t *testing.T, name string) End {
 	t.Helper()
-	for e := EndDone; e <= EndAlone; e++ {
+	for e := EndDone; e <= EndGangIncomplete; e++ {
 		if e.String() == name {
 			return e
 		}
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -8,10 +8,10 @@
 
 // Limits of a job that is taken; the text is bounded by the platform's page, the rest keeps a record under its value limit.
 const (
-	MaxText  = 4000
-	MaxSteps = 64
-	MaxTasks = 20_000
-	MaxTimes = 1000
+	MaxText       = 4000
+	MaxSteps      = 64
+	MaxTasks      = 20_000
+	MaxIterations = 1000
 )
 
 // idDigits is the length of a job's name.
@@ -69,20 +69,20 @@
 	AntiAffinity int
 	// Speculative says that copies of a task may run side by side.
 	Speculative bool
-	// Lasting says that the tasks run until the job is canceled.
-	Lasting bool
+	// LongRunning says that the tasks run until the job is canceled.
+	LongRunning bool
 	// Image names what the tasks run; Target is the tail latency that a serving task is to keep, 0 for none.
 	Image  string
 	Target time.Duration
-	// Fills says that the tasks take no processor room and work with what others leave unused.
-	Fills bool
-	// MayMiss is how many tasks of a lasting step may be away at once by our doing.
-	MayMiss int
+	// BestEffort says that the tasks take no processor room and work with what others leave unused.
+	BestEffort bool
+	// MaxUnavailable is how many tasks of a lasting step may be away at once by our doing.
+	MaxUnavailable int
 }
 
-// Room returns what a task of the step takes of a worker's room.
-func (s Step) Room() Size {
-	if s.Fills {
+// Reservation returns what a task of the step takes of a worker's room.
+func (s Step) Reservation() Size {
+	if s.BestEffort {
 		return Size{Memory: s.Size.Memory, GPU: s.Size.GPU}
 	}
 	return s.Size
@@ -96,10 +96,10 @@
 	// Text is passed to the worker with each start.
 	Text  string
 	Steps []Step
-	// Times is how often the steps run, 0 for once at once; time K is due at Start plus K times Interval.
-	Times    int
-	Start    time.Time
-	Interval time.Duration
+	// Iterations is how often the steps run, 0 for once at once; time K is due at Start plus K times Interval.
+	Iterations int
+	Start      time.Time
+	Interval   time.Duration
 }
 
 // Check returns why the job cannot be taken, nil where it can.
@@ -111,9 +111,9 @@
 		return fault.New(fault.BadInput, "the job has no steps")
 	case len(s.Steps) > MaxSteps:
 		return fault.New(fault.BadInput, "the job has %d steps; at most %d are taken", len(s.Steps), MaxSteps)
-	case s.Times < 0 || s.Times > MaxTimes:
-		return fault.New(fault.BadInput, "the job repeats %d times; 0 to %d are taken", s.Times, MaxTimes)
-	case s.Times > 1 && s.Interval < 0:
+	case s.Iterations < 0 || s.Iterations > MaxIterations:
+		return fault.New(fault.BadInput, "the job repeats %d times; 0 to %d are taken", s.Iterations, MaxIterations)
+	case s.Iterations > 1 && s.Interval < 0:
 		return fault.New(fault.BadInput, "the interval of a repeated job is negative")
 	}
 	tasks := 0
@@ -123,8 +123,8 @@
 		}
 		tasks += step.Count
 	}
-	if tasks*max(s.Times, 1) > MaxTasks {
-		return fault.New(fault.BadInput, "the job has %d tasks; at most %d are taken", tasks*max(s.Times, 1), MaxTasks)
+	if tasks*max(s.Iterations, 1) > MaxTasks {
+		return fault.New(fault.BadInput, "the job has %d tasks; at most %d are taken", tasks*max(s.Iterations, 1), MaxTasks)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 	if s.Count < 1 || s.Count > MaxTasks {
 		return fault.New(fault.BadInput, "step %d has %d tasks; 1 to %d are taken", n, s.Count, MaxTasks)
 	}
-	if s.Size.CPU < 0 || s.Size.Memory < 0 || s.Size.GPU < 0 || s.AntiAffinity < 0 || s.MayMiss < 0 || s.Estimate < 0 || s.Target < 0 {
+	if s.Size.CPU < 0 || s.Size.Memory < 0 || s.Size.GPU < 0 || s.AntiAffinity < 0 || s.MaxUnavailable < 0 || s.Estimate < 0 || s.Target < 0 {
 		return fault.New(fault.BadInput, "step %d has a negative number", n)
 	}
 	for _, d := range s.DependsOn {
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Chain returns the longest time that steps which depend on each other need in order, by their estimates.
-func (s Spec) Chain() time.Duration {
+// CriticalPath returns the longest time that steps which depend on each other need in order, by their estimates.
+func (s Spec) CriticalPath() time.Duration {
 	return s.longest(func(step int) time.Duration { return s.Steps[step].Estimate })
 }
 
--- a/internal/job/spec_test.go
+++ b/internal/job/spec_test.go
@@ -22,7 +22,7 @@
 		"step 0 has 0 tasks": {Steps: []Step{{}}},
 		"negative number":    {Steps: []Step{{Count: 1, Size: Size{CPU: -1}}}},
 		"is not before it":   {Steps: []Step{{Count: 1, DependsOn: []int{0}}}},
-		"repeats -1 times":   {Steps: one, Times: -1},
+		"repeats -1 times":   {Steps: one, Iterations: -1},
 		"has 40000 tasks":    {Steps: []Step{{Count: MaxTasks}, {Count: MaxTasks}}},
 	} {
 		err := spec.Check()
@@ -36,7 +36,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.IntRange(0, 1000)
 		id := TaskID{
-			Job: ID(rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job")), Time: number.Draw(t, "time"),
+			Job: ID(rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job")), Iteration: number.Draw(t, "time"),
 			Step: number.Draw(t, "step"), Index: number.Draw(t, "index"),
 		}
 		read, ok := ParseTaskID(id.String())
@@ -55,10 +55,10 @@
 		{Count: 1, Estimate: 3 * time.Second, Size: Size{CPU: 2000}},
 		{Count: 1, Estimate: time.Second, DependsOn: []int{0, 1}, Size: Size{CPU: 1000}},
 	}}
-	assert.Equal(t, spec.Chain(), 4*time.Second)
+	assert.Equal(t, spec.CriticalPath(), 4*time.Second)
 	j := New("00000000000000aa", spec, Queue{Stretch: 1.5, Target: 250 * time.Millisecond}, time.Unix(1, 0))
 	assert.Equal(t, j.Objective(), 6250*time.Millisecond)
-	assert.Equal(t, j.Work(0), 8.0)
+	assert.Equal(t, j.RemainingWork(0), 8.0)
 }
 
 // TestSuspectsOfTheReleaseBeforeAreRead, so that a release is rolled out while jobs have some.
@@ -70,8 +70,8 @@
 	assert.NilError(t, err)
 	j := New(id, Spec{Steps: []Step{{Count: 1}}}, Queue{}, time.Unix(1, 0))
 	assert.NilError(t, j.ApplyProgress(data))
-	assert.Equal(t, j.Suspicion(TaskID{Job: id}), crash.NewSuspicion(1, 2))
-	assert.Assert(t, j.Judged(TaskID{Job: id}, 2))
+	assert.Equal(t, j.Suspicion(TaskID{Job: id}), crash.NewHistory(1, 2))
+	assert.Assert(t, j.LastCrashCounted(TaskID{Job: id}, 2))
 }
 
 // TestBirthsOfWorkersAreStored, in a form that leaders of the release before read past.
@@ -113,8 +113,8 @@
 	j.Place(TaskID{Job: j.id}, Host{VM: "a"}, 0)
 	for _, suspected := range []bool{false, true} {
 		if suspected {
-			j.Crashed(TaskID{Job: j.id}, 1, crash.NewFinding(crash.Likely, true))
-			j.Lost(TaskID{Job: j.id}, 1, crash.UnseenLoss())
+			j.RecordCrash(TaskID{Job: j.id}, 1, crash.NewFinding(crash.LikelyCause, true))
+			j.RecordLoss(TaskID{Job: j.id}, 1, crash.UnreachableLoss())
 		}
 		progress, err := j.EncodeProgress()
 		if err != nil {
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -11,17 +11,17 @@
 
 // TaskID names a task: its job, which of the job's times, its step, and its number in the step.
 type TaskID struct {
-	Job   ID
-	Time  int
-	Step  int
-	Index int
+	Job       ID
+	Iteration int
+	Step      int
+	Index     int
 }
 
 // String returns the name of the task as the worker knows it.
 func (t TaskID) String() string { return t.StepName() + "." + strconv.Itoa(t.Index) }
 
 // StepName names the step of the task, of one time of its job.
-func (t TaskID) StepName() string { return fmt.Sprintf("%s.%d.%d", t.Job, t.Time, t.Step) }
+func (t TaskID) StepName() string { return fmt.Sprintf("%s.%d.%d", t.Job, t.Iteration, t.Step) }
 
 // ParseTaskID reads the name of a task.
 func ParseTaskID(text string) (TaskID, bool) {
@@ -37,7 +37,7 @@
 		}
 		numbers[i] = n
 	}
-	return TaskID{Job: ID(parts[0]), Time: numbers[0], Step: numbers[1], Index: numbers[2]}, true
+	return TaskID{Job: ID(parts[0]), Iteration: numbers[0], Step: numbers[1], Index: numbers[2]}, true
 }
 
 // Host is one incarnation of a worker on a VM.
@@ -70,25 +70,25 @@
 	Canceled               // cancelled
 )
 
-// Final reports whether the state no longer changes.
-func (s State) Final() bool { return s >= Completed }
+// IsFinal reports whether the state no longer changes.
+func (s State) IsFinal() bool { return s >= Completed }
 
 // End is how a run ended.
 type End int
 
 // The ends of a run.
 const (
-	EndDone    End = iota // done
-	EndFailed             // failed
-	EndStopped            // stopped
-	EndLapsed             // lapsed
-	EndBroken             // broken
-	EndAlone              // alone
+	EndDone           End = iota // done
+	EndFailed                    // failed
+	EndStopped                   // stopped
+	EndLapsed                    // lapsed
+	EndGangBroken                // broken
+	EndGangIncomplete            // alone
 )
 
 // ParseEnd returns the end of a name, false where there is none.
 func ParseEnd(name string) (End, bool) {
-	for e := EndDone; e <= EndAlone; e++ {
+	for e := EndDone; e <= EndGangIncomplete; e++ {
 		if e.String() == name {
 			return e, true
 		}
@@ -106,7 +106,7 @@
 	// suspicion is what is held against the task for crashes of workers; judged is the latest run for which a crash was counted by
 	// what was told of it, lost the latest that was counted as lost, unseen are those that were while it was not known whether the
 	// worker had crashed.
-	suspicion crash.Suspicion
+	suspicion crash.History
 	judged    int
 	lost      int
 	unseen    []int
--- a/internal/lead/agents.go
+++ b/internal/leader/agents.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"slices"
@@ -57,19 +57,19 @@
 }
 
 // closed says why the worker takes no new task; l.mu is held.
-func (l *Lead) closed(instance string, a *agentView, now time.Time) placement.Reason {
+func (l *Leader) closed(instance string, a *agentView, now time.Time) placement.Reason {
 	switch {
 	case a.stopping || l.listed[instance] != vmlist.Live || !a.isHeard(now, l.Timing.Heartbeat):
-		return placement.NodeLeaving
+		return placement.WorkerLeaving
 	case !workerProbation.Allows(&a.health, now):
-		return placement.NodeProbation
+		return placement.WorkerProbation
 	default:
 		return placement.Chosen
 	}
 }
 
 // state is closed as a word for operators; l.mu is held.
-func (l *Lead) state(instance string, a *agentView, now time.Time) string {
+func (l *Leader) state(instance string, a *agentView, now time.Time) string {
 	switch {
 	case l.listed[instance] == vmlist.Gone:
 		return "gone"
@@ -87,10 +87,10 @@
 }
 
 // isLeaving reports whether the list says that a VM is being taken away; l.mu is held.
-func (l *Lead) isLeaving(instance string) bool { return l.listed[instance] == vmlist.Leaving }
+func (l *Leader) isLeaving(instance string) bool { return l.listed[instance] == vmlist.Leaving }
 
 // workers returns the workers of the cell as a plan sees them, ordered by instance; l.mu is held.
-func (l *Lead) workers(now time.Time) []scheduling.Worker {
+func (l *Leader) workers(now time.Time) []scheduling.Worker {
 	workers := make([]scheduling.Worker, 0, len(l.agents))
 	for instance, a := range l.agents {
 		bands := make(map[string]interference.Band, len(a.latency))
@@ -101,7 +101,7 @@
 		}
 		bears := remedy.DefaultPolicy().Tolerance(worst)
 		w := scheduling.NewWorker(instance, a.capacity, a.profile.Rack)
-		workers = append(workers, w.Closed(l.closed(instance, a, now)).Pressed(a.pressed).Tolerating(bears).WithBands(bands))
+		workers = append(workers, w.WithClosed(l.closed(instance, a, now)).WithBatchBlocked(a.pressed).WithTolerance(bears).WithBands(bands))
 	}
 	slices.SortFunc(workers, func(a, b scheduling.Worker) int {
 		if a.Instance() < b.Instance() {
@@ -113,7 +113,7 @@
 }
 
 // snapshot is what a plan sees at a moment; l.mu is held.
-func (l *Lead) snapshot(now time.Time) scheduling.Snapshot {
+func (l *Leader) snapshot(now time.Time) scheduling.Snapshot {
 	return scheduling.NewSnapshot(now, l.table, l.workers(now), l.share).
 		WithEstimates(l.estimates).WithModel(l.model).WithNotBefore(l.notBefore)
 }
@@ -121,8 +121,8 @@
 // desiredRuns is all that an instance is to run by the document; l.mu is held.
 //
 // A replica that moves is stopped by being left out, after its requests.
-func (l *Lead) desiredRuns(d *cell.Document, instance string) []control.DesiredRun {
-	placed := d.Placed(instance)
+func (l *Leader) desiredRuns(d *cell.Document, instance string) []control.DesiredRun {
+	placed := d.PlacedOn(instance)
 	runs := make([]control.DesiredRun, 0, len(placed))
 	for _, t := range placed {
 		if _, moves := l.evicting[t.Run()]; !moves || !t.IsService() {
@@ -133,7 +133,7 @@
 }
 
 // desiredRun is a task with what its agent needs to know of the workload; l.mu is held.
-func (l *Lead) desiredRun(t cell.Task) control.DesiredRun {
+func (l *Leader) desiredRun(t cell.Task) control.DesiredRun {
 	run := control.DesiredRun{
 		Run: control.EncodeRun(t.Run()), Workload: t.Workload(), Service: t.IsService(),
 		Size: control.EncodeSize(t.Size()), Checkpoint: t.Checkpoint(),
@@ -151,7 +151,7 @@
 }
 
 // publish works out anew what each agent is to run, and has the changes sent.
-func (l *Lead) publish() {
+func (l *Leader) publish() {
 	d, _, loaded := l.document.Current()
 	if !loaded {
 		return
@@ -173,7 +173,7 @@
 	}
 }
 
-func (l *Lead) enqueuePush(instance string) {
+func (l *Leader) enqueuePush(instance string) {
 	select {
 	case l.pushes <- instance:
 	default:
--- a/internal/lead/commit.go
+++ b/internal/leader/commit.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 )
 
 // commitLoop plans and commits, one swap for all that has gathered, until the lead is stale.
-func (l *Lead) commitLoop(ctx context.Context) error {
+func (l *Leader) commitLoop(ctx context.Context) error {
 	pace := rate.NewLimiter(rate.Limit(l.Timing.CommitRate), burstBytes)
 	idle := time.NewTicker(idlePlan)
 	defer idle.Stop()
@@ -42,14 +42,14 @@
 	}
 }
 
-func (l *Lead) markDirty() {
+func (l *Leader) markDirty() {
 	l.mu.Lock()
 	l.dirty = true
 	l.mu.Unlock()
 }
 
 // gather is how long to wait for more changes: longer when the document is large and the bytes of late commits many.
-func (l *Lead) gather(pace *rate.Limiter) time.Duration {
+func (l *Leader) gather(pace *rate.Limiter) time.Duration {
 	l.mu.Lock()
 	urgent := l.urgent
 	l.mu.Unlock()
@@ -57,11 +57,11 @@
 	if urgent {
 		return urgentGap
 	}
-	return min(max(reserved.Delay(), l.Timing.Window), longestWait)
+	return min(max(reserved.Delay(), l.Timing.CommitWindow), longestWait)
 }
 
 // CommitOnce plans, and commits what has gathered by one swap; an error says that the lead is stale.
-func (l *Lead) CommitOnce(ctx context.Context) error {
+func (l *Leader) CommitOnce(ctx context.Context) error {
 	operations, ok := l.takePending()
 	if !ok {
 		return nil
@@ -87,7 +87,7 @@
 }
 
 // takePending takes the gathered operations, if there is anything to do.
-func (l *Lead) takePending() ([]*operation, bool) {
+func (l *Leader) takePending() ([]*operation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.pending) == 0 && !l.dirty {
@@ -99,7 +99,7 @@
 }
 
 // change applies the operations and a plan to a copy of the document.
-func (l *Lead) change(d *cell.Document, operations []*operation) (*cell.Document, *scheduling.Plan, bool, error) {
+func (l *Leader) change(d *cell.Document, operations []*operation) (*cell.Document, *scheduling.Plan, bool, error) {
 	l.mu.Lock()
 	epoch := l.epoch
 	l.mu.Unlock()
@@ -121,7 +121,7 @@
 	return next, plan, changed || plan.Changed(), nil
 }
 
-func (l *Lead) commitFailed(ctx context.Context, operations []*operation, err error) error {
+func (l *Leader) commitFailed(ctx context.Context, operations []*operation, err error) error {
 	if fault.Is(err, fault.Stale) {
 		for _, o := range operations {
 			o.result <- err
@@ -138,7 +138,7 @@
 }
 
 // committed answers the operations of a commit and tells the agents.
-func (l *Lead) committed(d *cell.Document, operations []*operation, plan *scheduling.Plan) {
+func (l *Leader) committed(d *cell.Document, operations []*operation, plan *scheduling.Plan) {
 	for _, o := range operations {
 		if o.changed {
 			o.after()
@@ -152,7 +152,7 @@
 	l.publishSummary()
 }
 
-func (l *Lead) planned(d *cell.Document, plan *scheduling.Plan) {
+func (l *Leader) planned(d *cell.Document, plan *scheduling.Plan) {
 	l.mu.Lock()
 	l.waiting = plan.Waiting()
 	for _, run := range plan.Evict() {
@@ -168,17 +168,17 @@
 }
 
 // startTrials takes note of tasks placed on workers that are on probation; l.mu is held.
-func (l *Lead) startTrials(d *cell.Document, plan *scheduling.Plan) {
+func (l *Leader) startTrials(d *cell.Document, plan *scheduling.Plan) {
 	for _, run := range plan.Assigned() {
 		t, _ := d.Task(run.ID())
 		if a, ok := l.agents[t.Instance()]; ok {
-			workerProbation.Try(&a.health)
+			workerProbation.StartTrial(&a.health)
 		}
 	}
 }
 
 // evictForPressure picks one task on each worker that asks to be relieved, and all on workers that leave; l.mu is held.
-func (l *Lead) evictForPressure(d *cell.Document) {
+func (l *Leader) evictForPressure(d *cell.Document) {
 	for run := range l.evicting {
 		if t, ok := d.Task(run.ID()); !ok || t.Run() != run || !t.IsPlaced() {
 			delete(l.evicting, run)
@@ -195,16 +195,16 @@
 	}
 }
 
-func (l *Lead) evictAll(d *cell.Document, instance string) {
-	for _, t := range d.Placed(instance) {
+func (l *Leader) evictAll(d *cell.Document, instance string) {
+	for _, t := range d.PlacedOn(instance) {
 		l.evicting[t.Run()] = struct{}{}
 	}
 }
 
 // evictOne picks the evictable task of least weight, of those the one that was evicted least.
-func (l *Lead) evictOne(d *cell.Document, instance string) {
+func (l *Leader) evictOne(d *cell.Document, instance string) {
 	best, found := cell.Task{}, false
-	for _, t := range d.Placed(instance) {
+	for _, t := range d.PlacedOn(instance) {
 		if _, ok := l.evicting[t.Run()]; ok {
 			return
 		}
@@ -218,7 +218,7 @@
 	}
 }
 
-func (l *Lead) goesBefore(a, b cell.Task) bool {
+func (l *Leader) goesBefore(a, b cell.Task) bool {
 	ra, _ := l.table.Row(a.Workload())
 	rb, _ := l.table.Row(b.Workload())
 	if ra.Weight() != rb.Weight() {
--- a/internal/lead/beat.go
+++ b/internal/leader/heartbeat.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// Beat answers the heartbeat of an agent.
-func (l *Lead) Beat(_ context.Context, p *rpc.Peer, beat control.Beat) (control.BeatAnswer, error) {
+// Heartbeat answers the heartbeat of an agent.
+func (l *Leader) Heartbeat(_ context.Context, p *rpc.Peer, beat control.Beat) (control.BeatAnswer, error) {
 	d, _, loaded := l.document.Current()
 	if !loaded {
 		return control.BeatAnswer{}, fault.New(fault.Unavailable, "the lead is not ready")
@@ -48,7 +48,7 @@
 }
 
 // hear takes note of what a beat says; an agent that the lead does not know must give its profile. l.mu is held.
-func (l *Lead) hear(p *rpc.Peer, beat *control.Beat, now time.Time) (*agentView, bool) {
+func (l *Leader) hear(p *rpc.Peer, beat *control.Beat, now time.Time) (*agentView, bool) {
 	a, ok := l.agents[beat.Instance]
 	if !ok || a.boot != beat.Boot {
 		if beat.Profile == nil {
@@ -83,7 +83,7 @@
 }
 
 // noteBase compares what the agent was told with what the lead believes that it was told; l.mu is held.
-func (l *Lead) noteBase(a *agentView, have control.Position) {
+func (l *Leader) noteBase(a *agentView, have control.Position) {
 	switch have {
 	case l.position(a):
 		a.setBase()
@@ -112,7 +112,7 @@
 }
 
 // readReports sorts reports into those the document has taken in and those still to commit. l.mu is held.
-func (l *Lead) readReports(d *cell.Document, a *agentView, beat *control.Beat) ([]control.Run, []*operation) {
+func (l *Leader) readReports(d *cell.Document, a *agentView, beat *control.Beat) ([]control.Run, []*operation) {
 	var acked []control.Run
 	var ended []*operation
 	for _, r := range beat.Reports {
@@ -134,7 +134,7 @@
 // missingRuns finds runs that the document places on the agent, that it is no longer to run, and that it does not have.
 //
 // The agent has taken the present position, after which it starts none of them any more.
-func (l *Lead) missingRuns(d *cell.Document, a *agentView, beat *control.Beat) []*operation {
+func (l *Leader) missingRuns(d *cell.Document, a *agentView, beat *control.Beat) []*operation {
 	if a.revision == 0 || beat.Applied != l.position(a) {
 		return nil
 	}
--- a/internal/lead/jobs.go
+++ b/internal/leader/jobs.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 )
 
 // Submit accepts a job once it is committed.
-func (l *Lead) Submit(ctx context.Context, _ *rpc.Peer, s control.Submit) (control.Job, error) {
+func (l *Leader) Submit(ctx context.Context, _ *rpc.Peer, s control.Submit) (control.Job, error) {
 	d, _, _ := l.document.Current()
 	if j, ok := d.Job(s.ID); ok {
 		return l.jobWire(d, j), nil
@@ -47,22 +47,22 @@
 	return l.jobWire(d, j), nil
 }
 
-func (l *Lead) checkSubmit(d *cell.Document, s control.Submit) (table.Row, error) {
+func (l *Leader) checkSubmit(d *cell.Document, s control.Submit) (table.Row, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.storeUp || !l.holds(time.Now()) {
-		return table.Row{}, fault.New(fault.Unavailable, "the store does not answer, so no job can be accepted").After(storeAgain)
+		return table.Row{}, fault.New(fault.Unavailable, "the store does not answer, so no job can be accepted").WithRetryAfter(storeAgain)
 	}
 	r, ok := l.table.Row(s.Workload)
 	if !ok || r.Kind() != table.Batch {
 		return table.Row{}, fault.New(fault.NotFound, "the table has no batch workload %q", s.Workload)
 	}
 	if len(d.Jobs()) >= maxOpen {
-		return table.Row{}, fault.New(fault.Overloaded, "%s has %d open jobs, its limit", l.Cell, maxOpen).After(storeAgain)
+		return table.Row{}, fault.New(fault.Overloaded, "%s has %d open jobs, its limit", l.Cell, maxOpen).WithRetryAfter(storeAgain)
 	}
-	if !scheduling.Possible(r.Size(), l.workers(time.Now())) {
+	if !scheduling.FitsEmptyWorker(r.Size(), l.workers(time.Now())) {
 		if time.Since(l.began) < settleTime {
-			return table.Row{}, fault.New(fault.Unavailable, "the lead has not heard its workers yet").After(settleTime)
+			return table.Row{}, fault.New(fault.Unavailable, "the lead has not heard its workers yet").WithRetryAfter(settleTime)
 		}
 		return table.Row{}, fault.New(fault.Impossible, "no worker of %s has %s, even empty", l.Cell, r.Size())
 	}
@@ -70,7 +70,7 @@
 }
 
 // commit waits until an operation is committed; a wait that ends first leaves the outcome unknown.
-func (l *Lead) commit(ctx context.Context, o *operation) error {
+func (l *Leader) commit(ctx context.Context, o *operation) error {
 	l.enqueue(o)
 	select {
 	case err := <-o.result:
@@ -83,7 +83,7 @@
 }
 
 // Job answers how far a job is.
-func (l *Lead) Job(_ context.Context, _ *rpc.Peer, q control.JobQuery) (control.Job, error) {
+func (l *Leader) Job(_ context.Context, _ *rpc.Peer, q control.JobQuery) (control.Job, error) {
 	d, _, _ := l.document.Current()
 	j, ok := d.Job(q.ID)
 	if !ok {
@@ -93,12 +93,12 @@
 }
 
 // Cancel ends a job once that is committed; cancellations that come together share a commit.
-func (l *Lead) Cancel(ctx context.Context, p *rpc.Peer, q control.JobQuery) (control.Job, error) {
+func (l *Leader) Cancel(ctx context.Context, p *rpc.Peer, q control.JobQuery) (control.Job, error) {
 	l.mu.Lock()
 	up := l.storeUp
 	l.mu.Unlock()
 	if !up {
-		return control.Job{}, fault.New(fault.Unavailable, "the store does not answer, so no job can be canceled").After(storeAgain)
+		return control.Job{}, fault.New(fault.Unavailable, "the store does not answer, so no job can be canceled").WithRetryAfter(storeAgain)
 	}
 	o := newOperation(func(d *cell.Document) (bool, error) {
 		if err := d.Cancel(q.ID); err != nil {
@@ -115,7 +115,7 @@
 	return l.Job(ctx, p, q)
 }
 
-func (l *Lead) jobWire(d *cell.Document, j cell.Job) control.Job {
+func (l *Leader) jobWire(d *cell.Document, j cell.Job) control.Job {
 	running := 0
 	for _, t := range d.Tasks() {
 		if t.ID().Job() == j.ID() && t.IsPlaced() {
--- a/internal/lead/lead.go
+++ b/internal/leader/leader.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -28,8 +28,8 @@
 	Lease time.Duration
 	// Heartbeat is how often agents are expected to be heard.
 	Heartbeat time.Duration
-	// Window is how long changes that are not urgent are gathered for one commit.
-	Window time.Duration
+	// CommitWindow is how long changes that are not urgent are gathered for one commit.
+	CommitWindow time.Duration
 	// List is how often the list of VMs is read.
 	List time.Duration
 	// CommitRate is how many bytes a second commits may write on average.
@@ -48,8 +48,8 @@
 	Recorder *timeline.Recorder
 }
 
-// Lead is the lead of one cell, from the lease to its loss.
-type Lead struct {
+// Leader is the lead of one cell, from the lease to its loss.
+type Leader struct {
 	Config
 	document *store.Document[*cell.Document]
 	rows     *store.Document[table.Table]
@@ -93,8 +93,8 @@
 func TableCodec() store.Codec[table.Table] { return store.NewCodec(table.Encode, table.Decode) }
 
 // New returns a lead that has not begun.
-func New(config Config) *Lead {
-	return &Lead{
+func New(config Config) *Leader {
+	return &Leader{
 		Config:      config,
 		document:    store.NewDocument(config.Store, DocumentKey(config.Cell), store.NewCodec(cell.Encode, cell.Decode)),
 		rows:        store.NewDocument(config.Store, TableKey, TableCodec()),
@@ -103,7 +103,7 @@
 		pushes:      make(chan string, 256),
 		agents:      make(map[string]*agentView),
 		subscribers: make(map[*rpc.Peer]struct{}),
-		share:       scheduling.Whole(),
+		share:       scheduling.FullShare(),
 		listed:      make(map[string]vmlist.State),
 		evicting:    make(map[task.Run]struct{}),
 		notBefore:   make(map[task.ID]time.Time),
@@ -114,17 +114,17 @@
 }
 
 // Done returns the channel that is closed when the lead has ended.
-func (l *Lead) Done() <-chan struct{} { return l.done }
+func (l *Leader) Done() <-chan struct{} { return l.done }
 
 // Ready reports whether the lead has taken the cell over, before which it has no document to answer from.
-func (l *Lead) Ready() bool {
+func (l *Leader) Ready() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.epoch > 0
 }
 
 // Run holds the cell from a lease just acquired until the lease is another's or ctx ends.
-func (l *Lead) Run(ctx context.Context, lease store.Lease, asked time.Time) error {
+func (l *Leader) Run(ctx context.Context, lease store.Lease, asked time.Time) error {
 	defer close(l.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -146,7 +146,7 @@
 }
 
 // Begin takes the cell over as a new epoch, with a lease that was asked for at a time.
-func (l *Lead) Begin(ctx context.Context, lease store.Lease, asked time.Time) error {
+func (l *Leader) Begin(ctx context.Context, lease store.Lease, asked time.Time) error {
 	l.prolonged(asked, lease)
 	taken, err := l.document.Update(ctx, func(d *cell.Document) (*cell.Document, bool, error) {
 		next := d.Clone()
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func (l *Lead) followTable(ctx context.Context) error {
+func (l *Leader) followTable(ctx context.Context) error {
 	store.Follow(ctx, l.rows, func(t table.Table, _ store.Version) {
 		l.mu.Lock()
 		l.table, l.dirty = t, true
@@ -176,7 +176,7 @@
 	return ctx.Err()
 }
 
-func (l *Lead) signal() {
+func (l *Leader) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -189,12 +189,12 @@
 }
 
 // position is where an agent is to be; l.mu is held.
-func (l *Lead) position(a *agentView) control.Position {
+func (l *Leader) position(a *agentView) control.Position {
 	return a.position(l.epoch)
 }
 
 // LoadTable reads the table once, before it is followed.
-func (l *Lead) LoadTable(ctx context.Context) error {
+func (l *Leader) LoadTable(ctx context.Context) error {
 	if err := l.rows.Load(ctx); err != nil {
 		return err
 	}
--- a/internal/lead/lead_test.go
+++ b/internal/leader/leader_test.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -44,7 +44,7 @@
 
 func (m memory) Release(context.Context, string, string) error { return nil }
 
-func begin(t *testing.T, m memory, name string) *Lead {
+func begin(t *testing.T, m memory, name string) *Leader {
 	t.Helper()
 	clock := timeline.NewClock(time.Now)
 	l := New(Config{
@@ -71,15 +71,15 @@
 func TestLeadWhoseLeaseLapsedDecidesNothing(t *testing.T) {
 	l := begin(t, memory{}, "lead")
 	beat := control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
-	answer, err := l.Beat(t.Context(), &rpc.Peer{}, beat)
+	answer, err := l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Known)
 	beat.Reports = []control.Report{{Run: control.Run{Job: "gone", Incarnation: 1}, State: "finished"}}
-	answer, err = l.Beat(t.Context(), &rpc.Peer{}, beat)
+	answer, err = l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Desired != nil && len(answer.Acked) == 1)
 	l.prolonged(time.Now().Add(-time.Minute), store.NewLease("lead", time.Second))
-	answer, err = l.Beat(t.Context(), &rpc.Peer{}, beat)
+	answer, err = l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Desired == nil && len(answer.Acked) == 0)
 }
@@ -87,27 +87,27 @@
 func TestRunIsGivenUpOnlyOnceTheAgentHasHeard(t *testing.T) {
 	l := begin(t, memory{}, "lead")
 	vm := control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
-	l.TakeList([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
-	_, err := l.Beat(t.Context(), &rpc.Peer{}, vm)
+	l.UpdateVMs([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
+	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
 	change(t, l, func(d *cell.Document) error {
 		d.Submit(cell.NewJob("job", "mailing", "", 1, time.Now()))
 		_, err := d.Assign(task.NewID("job", 0), "vm-1", resource.New(500, 10, 0))
 		return err
 	})
-	answer, err := l.Beat(t.Context(), &rpc.Peer{}, vm)
+	answer, err := l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
 	assert.Equal(t, len(answer.Desired.Runs), 1)
 	change(t, l, func(d *cell.Document) error { return d.Cancel("job") })
 	// The agent may still start what it was told before.
 	vm.Applied = answer.Desired.Position
-	answer, err = l.Beat(t.Context(), &rpc.Peer{}, vm)
+	answer, err = l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
 	assert.NilError(t, l.CommitOnce(t.Context()))
 	d, _, _ := l.document.Current()
 	assert.Equal(t, len(d.Tasks()), 1)
 	vm.Applied = answer.Desired.Position
-	_, err = l.Beat(t.Context(), &rpc.Peer{}, vm)
+	_, err = l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
 	assert.NilError(t, l.CommitOnce(t.Context()))
 	d, _, _ = l.document.Current()
@@ -117,16 +117,16 @@
 // An empty list once scaled every service of the cell to nothing.
 func TestListThatNamesNoVMOfTheCellIsNotBelieved(t *testing.T) {
 	l := begin(t, memory{}, "lead")
-	_, err := l.Beat(t.Context(), &rpc.Peer{}, control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}})
+	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}})
 	assert.NilError(t, err)
-	l.TakeList([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
+	l.UpdateVMs([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
 	share := l.share
-	l.TakeList(nil)
+	l.UpdateVMs(nil)
 	assert.Equal(t, l.share, share)
 	assert.Equal(t, share.Of(3), 3)
 }
 
-func change(t *testing.T, l *Lead, do func(d *cell.Document) error) {
+func change(t *testing.T, l *Leader, do func(d *cell.Document) error) {
 	t.Helper()
 	l.enqueue(newOperation(func(d *cell.Document) (bool, error) {
 		assert.NilError(t, do(d))
@@ -193,11 +193,11 @@
 	asked.subscribers[entry] = struct{}{}
 	for _, lapsed := range []bool{false, true} {
 		if lapsed {
-			for _, lead := range []*Lead{l, asked} {
+			for _, lead := range []*Leader{l, asked} {
 				lead.prolonged(time.Now().Add(-2*time.Hour), store.NewLease("vm-1", time.Hour))
 			}
 		}
-		answer, err := l.Beat(t.Context(), nil, control.Beat{Instance: "vm-2", Boot: "b", Profile: profile})
+		answer, err := l.Heartbeat(t.Context(), nil, control.Beat{Instance: "vm-2", Boot: "b", Profile: profile})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Lapsed, lapsed)
 		subscribed, err := asked.Subscribe(t.Context(), entry, control.Subscribe{})
@@ -219,7 +219,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, fault.Is(Superseded(t.Context(), c.store, "h-0", "a"), fault.Stale), c.superseded)
+			assert.Equal(t, fault.Is(CheckSuperseded(t.Context(), c.store, "h-0", "a"), fault.Stale), c.superseded)
 		})
 	}
 }
--- a/internal/lead/lease.go
+++ b/internal/leader/lease.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -11,17 +11,17 @@
 )
 
 // prolonged takes note of a lease that was asked for at a time; it is counted from then.
-func (l *Lead) prolonged(asked time.Time, lease store.Lease) {
+func (l *Leader) prolonged(asked time.Time, lease store.Lease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaseEnd = asked.Add(min(lease.Remaining(), l.Timing.Lease))
 }
 
 // holds reports whether the lease has not lapsed; l.mu is held.
-func (l *Lead) holds(now time.Time) bool { return now.Before(l.leaseEnd) }
+func (l *Leader) holds(now time.Time) bool { return now.Before(l.leaseEnd) }
 
 // keepLease prolongs the lease until another holds it.
-func (l *Lead) keepLease(ctx context.Context) error {
+func (l *Leader) keepLease(ctx context.Context) error {
 	for ctx.Err() == nil {
 		store.Pause(ctx, jitter(l.Timing.Lease/4))
 		if err := l.Renew(ctx); err != nil {
@@ -32,7 +32,7 @@
 }
 
 // Renew prolongs the lease; an error says that another holds it or has led in between.
-func (l *Lead) Renew(ctx context.Context) error {
+func (l *Leader) Renew(ctx context.Context) error {
 	asked := time.Now()
 	lease, err := l.Store.Acquire(ctx, LeaseName(l.Cell), l.Address, l.Timing.Lease)
 	l.noteStore(err)
@@ -48,7 +48,7 @@
 }
 
 // checkEpoch reads the document again after a lapse, since another may have led in between.
-func (l *Lead) checkEpoch(ctx context.Context) error {
+func (l *Leader) checkEpoch(ctx context.Context) error {
 	l.mu.Lock()
 	lapsed := !l.storeUp
 	epoch := l.epoch
@@ -72,7 +72,7 @@
 }
 
 // noteStore takes note of whether the store answered a call.
-func (l *Lead) noteStore(err error) {
+func (l *Leader) noteStore(err error) {
 	kind := fault.KindOf(err)
 	down := err != nil && (kind == fault.Unavailable || kind == fault.OutcomeUnknown || kind == fault.DeadlineExceeded)
 	if !down {
@@ -88,9 +88,9 @@
 	}
 }
 
-// Superseded returns an error of kind Stale where the store says that a lead at an address, whose lease has lapsed, no
+// CheckSuperseded returns an error of kind Stale where the store says that a lead at an address, whose lease has lapsed, no
 // longer holds the lease of its cell; a store that does not answer says nothing.
-func Superseded(ctx context.Context, s store.Store, cellName, address string) error {
+func CheckSuperseded(ctx context.Context, s store.Store, cellName, address string) error {
 	held, err := s.Holder(ctx, LeaseName(cellName))
 	if err != nil || held.Holder() == address {
 		return nil //nolint:nilerr // without the store's answer the lead stays the best that is known
--- a/internal/lead/learn.go
+++ b/internal/leader/measurements.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"time"
@@ -16,7 +16,7 @@
 )
 
 // learn takes in the measurements of a beat; l.mu is held.
-func (l *Lead) learn(a *agentView, beat *control.Beat, now time.Time) {
+func (l *Leader) learn(a *agentView, beat *control.Beat, now time.Time) {
 	for _, u := range beat.Usage {
 		run := u.Run.Decode()
 		s, ok := a.statuses[run]
@@ -42,7 +42,7 @@
 	}
 }
 
-func (l *Lead) estimate(workload string) *sizing.Estimate {
+func (l *Leader) estimate(workload string) *sizing.Estimate {
 	e, ok := l.estimates[workload]
 	if !ok {
 		e = &sizing.Estimate{}
@@ -52,7 +52,7 @@
 }
 
 // ended takes note of a run whose end was committed; l.mu is held.
-func (l *Lead) ended(instance, workload string, run task.Run, state task.State, ran time.Duration, failures int) {
+func (l *Leader) ended(instance, workload string, run task.Run, state task.State, ran time.Duration, failures int) {
 	now := time.Now()
 	delete(l.evicting, run)
 	delete(l.notBefore, run.ID())
@@ -74,7 +74,7 @@
 	case task.Refused:
 		l.notBefore[run.ID()] = now.Add(jitter(firstRetry))
 		if ok {
-			workerProbation.Drop(&a.health)
+			workerProbation.CancelTrial(&a.health)
 		}
 	}
 }
--- a/internal/lead/operation.go
+++ b/internal/leader/operation.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"time"
@@ -28,7 +28,7 @@
 }
 
 // enqueue hands an operation to the next commit.
-func (l *Lead) enqueue(o *operation) {
+func (l *Leader) enqueue(o *operation) {
 	l.mu.Lock()
 	l.pending = append(l.pending, o)
 	l.urgent = l.urgent || o.urgent
@@ -37,7 +37,7 @@
 }
 
 // failPending answers the operations that no commit will take.
-func (l *Lead) failPending() {
+func (l *Leader) failPending() {
 	l.mu.Lock()
 	left := l.pending
 	l.pending = nil
@@ -48,7 +48,7 @@
 }
 
 // reportOperation is the end of a run as an operation.
-func (l *Lead) reportOperation(r control.Report) *operation {
+func (l *Leader) reportOperation(r control.Report) *operation {
 	run, state := r.Run.Decode(), task.ParseState(r.State)
 	ran := time.Duration(r.RuntimeMillis) * time.Millisecond
 	var before cell.Task
@@ -75,7 +75,7 @@
 }
 
 // attemptsOf is how often a task may fail; a replica may for ever.
-func (l *Lead) attemptsOf(t cell.Task) int {
+func (l *Leader) attemptsOf(t cell.Task) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.table.Row(t.Workload())
@@ -97,7 +97,7 @@
 // EndKind returns the event of a run that ends in a state.
 func EndKind(state task.State) timeline.Kind { return endKinds[state] }
 
-func (l *Lead) recordEnd(run task.Run, before cell.Task, state task.State, jobEnded bool) {
+func (l *Leader) recordEnd(run task.Run, before cell.Task, state task.State, jobEnded bool) {
 	subject := timeline.Subject{Task: run.ID().String(), Worker: before.Instance()}
 	l.Recorder.Record(EndKind(state), subject, "the end of the run is committed")
 	if jobEnded {
--- a/internal/lead/push.go
+++ b/internal/leader/push.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 // pushLoop is one of the workers that send agents what they are to run.
-func (l *Lead) pushLoop(ctx context.Context) error {
+func (l *Leader) pushLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -25,7 +25,7 @@
 	}
 }
 
-func (l *Lead) push(ctx context.Context, instance string) {
+func (l *Leader) push(ctx context.Context, instance string) {
 	l.mu.Lock()
 	a, ok := l.agents[instance]
 	if !ok || !l.holds(time.Now()) || a.peer == nil || a.applied == l.position(a) {
@@ -56,7 +56,7 @@
 }
 
 // desired is the message that tells an agent what to run, or what changed of it; l.mu is held.
-func (l *Lead) desired(a *agentView) *control.Desired {
+func (l *Leader) desired(a *agentView) *control.Desired {
 	d := &control.Desired{Position: l.position(a), Boot: a.boot, Leaving: a.leaving}
 	if a.baseRevision == 0 {
 		d.Runs = a.desired
--- a/internal/lead/status.go
+++ b/internal/leader/status.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 )
 
 // Status describes the cell for operators.
-func (l *Lead) Status(_ context.Context, _ *rpc.Peer, _ control.StatusQuery) (control.CellStatus, error) {
+func (l *Leader) Status(_ context.Context, _ *rpc.Peer, _ control.StatusQuery) (control.CellStatus, error) {
 	d, _, _ := l.document.Current()
-	known := append(slices.Clone(d.Ended()), d.Jobs()...)
+	known := append(slices.Clone(d.EndedJobs()), d.Jobs()...)
 	jobs := make([]control.Job, 0, len(known))
 	for _, j := range known {
 		jobs = append(jobs, l.jobWire(d, j))
@@ -35,7 +35,7 @@
 
 // workerStatuses describes the workers, and those that this lead never heard of but that have tasks, as a VM has that
 // died with the lead before; l.mu is held.
-func (l *Lead) workerStatuses(d *cell.Document, now time.Time) []control.WorkerStatus {
+func (l *Leader) workerStatuses(d *cell.Document, now time.Time) []control.WorkerStatus {
 	committed := make(map[string]resource.Vector)
 	tasks := make(map[string]int)
 	for _, t := range d.Tasks() {
@@ -65,7 +65,7 @@
 }
 
 // serviceStatuses describes the services against their targets; l.mu is held.
-func (l *Lead) serviceStatuses(d *cell.Document) []control.ServiceStatus {
+func (l *Leader) serviceStatuses(d *cell.Document) []control.ServiceStatus {
 	var statuses []control.ServiceStatus
 	for _, r := range l.table.Rows() {
 		if r.Kind() != table.Service {
@@ -97,7 +97,7 @@
 }
 
 // Explain says why a task is where it is, or why it waits.
-func (l *Lead) Explain(_ context.Context, _ *rpc.Peer, q control.ExplainQuery) (control.Explanation, error) {
+func (l *Leader) Explain(_ context.Context, _ *rpc.Peer, q control.ExplainQuery) (control.Explanation, error) {
 	id, err := task.ParseID(q.Task)
 	if err != nil {
 		return control.Explanation{}, err
@@ -133,7 +133,7 @@
 	return e, nil
 }
 
-func (l *Lead) explainUnplaced(d *cell.Document, id task.ID) (control.Explanation, error) {
+func (l *Leader) explainUnplaced(d *cell.Document, id task.ID) (control.Explanation, error) {
 	j, ok := d.Job(id.Job())
 	if !ok || id.Index() >= j.Tasks() {
 		return control.Explanation{}, fault.New(fault.NotFound, "%s has no task %s", l.Cell, id)
@@ -150,7 +150,7 @@
 }
 
 // whyWaiting says why a task waits; l.mu is held.
-func (l *Lead) whyWaiting(id task.ID) string {
+func (l *Leader) whyWaiting(id task.ID) string {
 	if until, ok := l.notBefore[id]; ok && time.Now().Before(until) {
 		return "it failed and waits before its next try"
 	}
@@ -161,7 +161,7 @@
 }
 
 // Timeline returns the events of the cell after a stamp: the lead's own and those of its agents.
-func (l *Lead) Timeline(ctx context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.Wire, error) {
+func (l *Leader) Timeline(ctx context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.Wire, error) {
 	l.mu.Lock()
 	var peers []*rpc.Peer
 	for _, a := range l.agents {
--- a/internal/lead/summary.go
+++ b/internal/leader/summary.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 )
 
 // Subscribe hands an entry the summary of the cell and pushes later ones to it.
-func (l *Lead) Subscribe(_ context.Context, p *rpc.Peer, s control.Subscribe) (control.SubscribeAnswer, error) {
+func (l *Leader) Subscribe(_ context.Context, p *rpc.Peer, s control.Subscribe) (control.SubscribeAnswer, error) {
 	l.mu.Lock()
 	if _, ok := l.subscribers[p]; !ok {
 		l.subscribers[p] = struct{}{}
@@ -31,7 +31,7 @@
 	return answer, nil
 }
 
-func (l *Lead) unsubscribe(p *rpc.Peer) {
+func (l *Leader) unsubscribe(p *rpc.Peer) {
 	select {
 	case <-p.Done():
 	case <-l.done:
@@ -42,7 +42,7 @@
 }
 
 // load describes the cell for the choice of a job's cell; l.mu is held.
-func (l *Lead) load() control.Load {
+func (l *Leader) load() control.Load {
 	load := control.Load{Waiting: len(l.waiting)}
 	var largest resource.Vector
 	for _, a := range l.agents {
@@ -61,7 +61,7 @@
 }
 
 // endpoints are the replicas that serve in the cell, in a fixed order; l.mu is held.
-func (l *Lead) endpoints() []control.Endpoint {
+func (l *Leader) endpoints() []control.Endpoint {
 	var endpoints []control.Endpoint
 	for instance, a := range l.agents {
 		if l.listed[instance] != vmlist.Gone {
@@ -90,7 +90,7 @@
 }
 
 // publishSummary pushes the endpoints to the entries if they changed.
-func (l *Lead) publishSummary() {
+func (l *Leader) publishSummary() {
 	l.mu.Lock()
 	endpoints := l.endpoints()
 	if l.summary.Position.Epoch == l.epoch && slices.Equal(endpoints, l.summary.Endpoints) {
@@ -109,7 +109,7 @@
 	}
 }
 
-func (l *Lead) pushSummary(p *rpc.Peer, summary control.Summary) {
+func (l *Leader) pushSummary(p *rpc.Peer, summary control.Summary) {
 	ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 	defer cancel()
 	if _, err := rpc.Call[control.Summary, control.Ack](ctx, p, control.MethodSummary, summary); err != nil {
--- a/internal/lead/list.go
+++ b/internal/leader/vms.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -14,23 +14,23 @@
 )
 
 // followList reads the list of VMs from time to time.
-func (l *Lead) followList(ctx context.Context) error {
+func (l *Leader) followList(ctx context.Context) error {
 	for ctx.Err() == nil {
 		vms, err := l.VMs.VMs(ctx)
 		if err != nil {
 			l.Logger.Debug("cannot read the list of VMs: %v", err)
 		} else {
-			l.TakeList(vms)
+			l.UpdateVMs(vms)
 		}
 		store.Pause(ctx, jitter(l.Timing.List))
 	}
 	return ctx.Err()
 }
 
-// TakeList takes note of the list: the cell's share of the region, and VMs that are gone.
+// UpdateVMs takes note of the list: the cell's share of the region, and VMs that are gone.
 //
 // A list that names no VM of the cell, whose agents are heard, is not believed.
-func (l *Lead) TakeList(vms []vmlist.VM) {
+func (l *Leader) UpdateVMs(vms []vmlist.VM) {
 	now := time.Now()
 	l.mu.Lock()
 	if len(l.agents) > 0 && !namesCell(l.Cell, vms) {
@@ -78,7 +78,7 @@
 }
 
 // goneInstances are those that the list calls gone and that are silent too, since the list may be wrong; l.mu is held.
-func (l *Lead) goneInstances(now time.Time) []string {
+func (l *Leader) goneInstances(now time.Time) []string {
 	if now.Sub(l.began) < missedBeats*l.Timing.Heartbeat {
 		return nil
 	}
@@ -92,10 +92,10 @@
 	return gone
 }
 
-func (l *Lead) lose(instance string) {
-	var lost []cell.Loss
+func (l *Leader) lose(instance string) {
+	var lost []cell.LostRun
 	o := newOperation(func(d *cell.Document) (bool, error) {
-		lost = d.Lose(instance)
+		lost = d.LoseInstance(instance)
 		return len(lost) > 0, nil
 	})
 	o.after = func() {
--- a/internal/link/messages.go
+++ b/internal/link/messages.go
@@ -36,10 +36,10 @@
 // Running is a run that a worker has.
 type Running struct {
 	Run
-	Percent    int    `json:"p,omitempty"`
-	Figure     int    `json:"f,omitempty"`
-	Pace       int    `json:"a,omitempty"`
-	Checkpoint string `json:"c,omitempty"`
+	Percent     int    `json:"p,omitempty"`
+	Measurement int    `json:"f,omitempty"`
+	Pace        int    `json:"a,omitempty"`
+	Checkpoint  string `json:"c,omitempty"`
 	// Fresh says that the run has not outlived its start yet.
 	Fresh bool `json:"y,omitempty"`
 }
@@ -61,13 +61,13 @@
 // Crash reports an incarnation of the worker that has ended.
 type Crash struct {
 	// Number counts the ends that an agent reports.
-	Number   uint64 `json:"n"`
-	Instance string `json:"instance"`
-	Born     int64  `json:"born,omitempty"`
+	Number      uint64 `json:"n"`
+	Instance    string `json:"instance"`
+	StartMillis int64  `json:"born,omitempty"`
 	// Planned says that the worker had reported that it would leave, which is attributed to no run.
 	Planned bool `json:"planned,omitempty"`
-	// BrokenMillis is how long before the report the calls to the worker broke off, 0 where that is not known.
-	BrokenMillis int64 `json:"broken_ms,omitempty"`
+	// FirstFailureMillis is how long before the report the calls to the worker broke off, 0 where that is not known.
+	FirstFailureMillis int64 `json:"broken_ms,omitempty"`
 	// Runs are those that it had or may have had.
 	Runs []CrashedRun `json:"runs"`
 }
@@ -89,21 +89,21 @@
 	Epoch uint64 `json:"epoch"`
 	// Instance and Born name the incarnation of the worker; empty while the agent knows of none. Born is left out by workers that do not
 	// report it, and by agents of the release before.
-	Instance string   `json:"instance,omitempty"`
-	Born     int64    `json:"born,omitempty"`
-	Service  string   `json:"service,omitempty"`
-	CPU      int      `json:"cpu,omitempty"`
-	Memory   int      `json:"memory,omitempty"`
-	GPU      int      `json:"gpu,omitempty"`
-	Labels   []string `json:"labels,omitempty"`
-	Draining bool     `json:"draining,omitempty"`
+	Instance    string   `json:"instance,omitempty"`
+	StartMillis int64    `json:"born,omitempty"`
+	Service     string   `json:"service,omitempty"`
+	CPU         int      `json:"cpu,omitempty"`
+	Memory      int      `json:"memory,omitempty"`
+	GPU         int      `json:"gpu,omitempty"`
+	Labels      []string `json:"labels,omitempty"`
+	Draining    bool     `json:"draining,omitempty"`
 	// RemainingMillis is the least time left to a draining worker.
 	RemainingMillis int64 `json:"remaining_ms,omitempty"`
 	// Silent says that the worker does not answer, Lapsed that the time of all that it runs is surely over.
 	Silent bool `json:"silent,omitempty"`
 	Lapsed bool `json:"lapsed,omitempty"`
-	// BrokenMillis is for how long the calls to the worker have been breaking off, 0 while they do not.
-	BrokenMillis int64 `json:"broken_ms,omitempty"`
+	// FirstFailureMillis is for how long the calls to the worker have been breaking off, 0 while they do not.
+	FirstFailureMillis int64 `json:"broken_ms,omitempty"`
 	// Fenced says that the worker has seen a fence of this epoch, so that Running, Ended and Pending are all there is.
 	Fenced bool `json:"fenced,omitempty"`
 	// Running are the runs that the worker has; once the lead numbers its list of entries it reads them from Rows, with Named for the
@@ -129,28 +129,28 @@
 	// release before, whose agents call under the epoch.
 	FirstFence uint64 `json:"first_fence,omitempty"`
 	LastFence  uint64 `json:"last_fence,omitempty"`
-	// PermissionMillis is how long the worker may go on, counted from when the report was sent.
-	PermissionMillis int64 `json:"permission_ms"`
-	// Seen is up to which number the ends are committed.
-	Seen uint64 `json:"seen"`
-	// Crashes is up to which number what follows from crashes is committed.
-	Crashes uint64 `json:"crashes,omitempty"`
-	// Doubtful says that the lead has not confirmed for a while that it leads.
-	Doubtful bool `json:"doubtful,omitempty"`
+	// LeaseMillis is how long the worker may go on, counted from when the report was sent.
+	LeaseMillis int64 `json:"permission_ms"`
+	// AcknowledgedEnds is up to which number the ends are committed.
+	AcknowledgedEnds uint64 `json:"seen"`
+	// AcknowledgedCrashes is up to which number what follows from crashes is committed.
+	AcknowledgedCrashes uint64 `json:"crashes,omitempty"`
+	// Unverified says that the lead has not confirmed for a while that it leads.
+	Unverified bool `json:"doubtful,omitempty"`
 	// Entries are the addresses of the entries, left out where the agent has them; List numbers them from 1.
 	Entries  []string  `json:"entries,omitempty"`
 	List     uint64    `json:"list,omitempty"`
 	Profiles []Profile `json:"profiles,omitempty"`
-	// Foreign says that no configuration names the service that the worker was reported with.
-	Foreign bool `json:"foreign,omitempty"`
+	// UnknownService says that no configuration names the service that the worker was reported with.
+	UnknownService bool `json:"foreign,omitempty"`
 	// Connections is how many connections the worker takes at once, 0 where that is not known.
 	Connections int `json:"connections,omitempty"`
-	// Presses tells, by each image that fills the worker, by how much it lowers the headroom of each serving image there;
+	// Interference tells, by each image that fills the worker, by how much it lowers the headroom of each serving image there;
 	// Swing is how fast the loads of serving tasks swing, in radians a second.
-	Presses map[string]map[string]float64 `json:"presses,omitempty"`
-	Swing   float64                       `json:"swing,omitempty"`
-	// Starved is how starved batch is, from 0 to 1.
-	Starved float64 `json:"starved,omitempty"`
+	Interference  map[string]map[string]float64 `json:"presses,omitempty"`
+	LoadFrequency float64                       `json:"swing,omitempty"`
+	// Backlog is how starved batch is, from 0 to 1.
+	Backlog float64 `json:"starved,omitempty"`
 	// Loads are those of the steps that serve there, by the names of the steps.
 	Loads map[string]Load `json:"loads,omitempty"`
 	// Hall tells of the hall of the agent.
@@ -166,9 +166,9 @@
 // Load is the headroom that the tasks of a step have without neighbors, its slope a second, its usual value, and the standard
 // deviation of a task's.
 type Load struct {
-	Value     float64 `json:"v"`
+	Headroom  float64 `json:"v"`
 	Slope     float64 `json:"s"`
-	Usual     float64 `json:"u"`
+	Mean      float64 `json:"u"`
 	Deviation float64 `json:"d"`
 }
 
@@ -180,8 +180,8 @@
 	Memory       int    `json:"mem,omitempty"`
 	GPU          int    `json:"gpu,omitempty"`
 	TargetMillis int64  `json:"target_ms,omitempty"`
-	Fills        bool   `json:"fills,omitempty"`
-	Lasting      bool   `json:"lasting,omitempty"`
+	BestEffort   bool   `json:"fills,omitempty"`
+	LongRunning  bool   `json:"lasting,omitempty"`
 }
 
 // Start orders a run.
@@ -195,10 +195,10 @@
 type Orders struct {
 	Epoch uint64 `json:"epoch"`
 	// Instance and Born name the incarnation of the worker that the orders are for.
-	Instance string  `json:"instance"`
-	Born     int64   `json:"born,omitempty"`
-	Starts   []Start `json:"starts,omitempty"`
-	Stops    []Run   `json:"stops,omitempty"`
+	Instance    string  `json:"instance"`
+	StartMillis int64   `json:"born,omitempty"`
+	Starts      []Start `json:"starts,omitempty"`
+	Stops       []Run   `json:"stops,omitempty"`
 	// Texts holds the text of each job that Starts name, by the job's name.
 	Texts map[string]string `json:"texts,omitempty"`
 	// Hall tells of the hall of the agent as of these orders.
@@ -230,8 +230,8 @@
 	// Entries are addresses of entries, left out where the entry has them; List numbers them from 1.
 	Entries []string `json:"entries,omitempty"`
 	List    uint64   `json:"list,omitempty"`
-	// Doubtful says that the leader has not confirmed for a while that it leads.
-	Doubtful bool `json:"doubtful,omitempty"`
+	// Unverified says that the leader has not confirmed for a while that it leads.
+	Unverified bool `json:"doubtful,omitempty"`
 	// Rank is the place of the entry among those that may lead next, from 1; 0 where it has none.
 	Rank int `json:"rank,omitempty"`
 	// Probe asks the entry to find out whether the store answers it, and to ping again.
@@ -241,7 +241,7 @@
 	// StoreDown says that the store answers neither the lead nor, as far as it knows, any entry; Succeed that the
 	// entry is to lead, since the store answers it and not the lead, or since it is far stronger.
 	StoreDown bool `json:"store_down,omitempty"`
-	Succeed   bool `json:"succeed,omitempty"`
+	TakeOver  bool `json:"succeed,omitempty"`
 	Offer
 }
 
--- a/internal/link/rows.go
+++ b/internal/link/rows.go
@@ -111,7 +111,7 @@
 			known = namedRow{run: r.Run, number: w.last}
 			names = append(names, Named{Run: r.Run, Row: known.number})
 		}
-		row := Row{number: known.number, percent: r.Percent, figure: r.Figure, pace: r.Pace, fresh: r.Fresh}
+		row := Row{number: known.number, percent: r.Percent, figure: r.Measurement, pace: r.Pace, fresh: r.Fresh}
 		if r.Checkpoint != known.checkpoint {
 			row.checkpoint, known.checkpoint = r.Checkpoint, r.Checkpoint
 		}
@@ -147,7 +147,7 @@
 		}
 		named[row.number] = known
 		running = append(running, Running{
-			Run: known.run, Percent: row.percent, Figure: row.figure, Pace: row.pace, Checkpoint: known.checkpoint, Fresh: row.fresh,
+			Run: known.run, Percent: row.percent, Measurement: row.figure, Pace: row.pace, Checkpoint: known.checkpoint, Fresh: row.fresh,
 		})
 	}
 	r.named = named
--- a/internal/link/rows_test.go
+++ b/internal/link/rows_test.go
@@ -20,7 +20,7 @@
 		}
 		running = append(running, Running{
 			Run:     Run{Task: fmt.Sprintf("job.0.0.%d", n), Number: rapid.IntRange(1, 2).Draw(t, "run")},
-			Percent: rapid.IntRange(0, 100).Draw(t, "percent"), Figure: rapid.IntRange(0, 9000).Draw(t, "figure"),
+			Percent: rapid.IntRange(0, 100).Draw(t, "percent"), Measurement: rapid.IntRange(0, 9000).Draw(t, "figure"),
 			Pace: rapid.IntRange(0, 100).Draw(t, "pace"), Fresh: rapid.Bool().Draw(t, "fresh"),
 			Checkpoint: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "checkpoint"),
 		})
@@ -95,7 +95,7 @@
 // TestRowsAreShort: names are told once.
 func TestRowsAreShort(t *testing.T) {
 	writer := NewRowWriter()
-	running := []Running{{Run: Run{Task: "4fb897e5e362af8c.0.1.1", Number: 2}, Percent: 50, Figure: 3400, Pace: 100, Checkpoint: "00000bb87a21d94b"}}
+	running := []Running{{Run: Run{Task: "4fb897e5e362af8c.0.1.1", Number: 2}, Percent: 50, Measurement: 3400, Pace: 100, Checkpoint: "00000bb87a21d94b"}}
 	_, names := writer.Write(running)
 	assert.Equal(t, len(names), 1)
 	rows, names := writer.Write(running)
@@ -123,7 +123,7 @@
 	var running []Running
 	for n := range 50 {
 		run := Run{Task: fmt.Sprintf("4fb897e5e362af8c.0.1.%d", n), Number: 2}
-		running = append(running, Running{Run: run, Percent: 50, Figure: 3400, Pace: 100})
+		running = append(running, Running{Run: run, Percent: 50, Measurement: 3400, Pace: 100})
 	}
 	writer := NewRowWriter()
 	writer.Write(running)
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -17,7 +17,7 @@
 		VM: p.settings.ID(), Hall: p.settings.Hall(), ClosedWithin: p.settings.ClosedWithin(),
 		LongestHold: p.settings.LongestHold(), Dial: httpclient.Dial,
 		Worker: platform.NewWorker(p.settings.Worker(), p.logger.Part("worker")),
-		Store:  relay.New(p.store, p.health, p.pool), Pool: p.pool, Clock: p.clock, Uptime: boottime.System{}, Draw: rand.Float64, Secret: secret,
+		Store:  relay.New(p.store, p.health, p.pool), Pool: p.pool, Clock: p.clock, Uptime: boottime.System{}, Random: rand.Float64, Secret: secret,
 		Logger: p.logger.Part("agent"), Metrics: p.metrics,
 	})
 	reports, err := serve(p.settings.Reports(), "listen.reports", mostLocal, platform.HandleReports(r))
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -31,7 +31,7 @@
 	*process
 	desk       *intake.Desk
 	policies   *intake.Policies
-	lead       *follow.Follower[record.Lead]
+	lead       *follow.Follower[record.Leader]
 	dispatcher *dispatch.Dispatcher
 	pinger     *intake.Pinger
 	stopping   atomic.Bool
@@ -42,7 +42,7 @@
 func (p *process) runEntry(ctx context.Context) error {
 	e := &entry{process: p, refusals: rate.Sometimes{Interval: refusedEvery}}
 	e.policies = intake.NewPolicies(p.store, platform.PolicyKey, platform.DecodePolicy, p.logger.Part("configuration"))
-	e.lead = follow.New(p.store, record.LeadKey, record.DecodeLead, p.logger.Part("lead"))
+	e.lead = follow.New(p.store, record.LeaderKey, record.DecodeLeader, p.logger.Part("lead"))
 	var advisor dispatch.Advisor
 	if address := p.settings.Advice(); address != "" {
 		advisor = platform.NewAdvice(address, p.logger.Part("advice"))
@@ -52,7 +52,7 @@
 		Node:    p.settings.ID(), Boot: p.boot, Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
 		Closures: hall.New(p.store, platform.ClosuresPrefix, p.settings.ClosedWithin(), boottime.System{}, p.logger.Part("closures")),
 		Uptime:   boottime.System{},
-		Store:    p.store, Health: p.health, Lead: e.lead, Policies: e.policies, Logger: p.logger.Part("dispatch"), Metrics: p.metrics,
+		Store:    p.store, Health: p.health, Leader: e.lead, Policies: e.policies, Logger: p.logger.Part("dispatch"), Metrics: p.metrics,
 	})
 	e.desk = intake.New(intake.Config{
 		Store: relay.New(p.store, p.health, p.pool), Pool: p.pool, Policies: e.policies, Lead: e.lead, Leader: e.dispatcher,
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -99,5 +99,5 @@
 		return fault.New(fault.Internal, "the entry answered status %d: %s", response.StatusCode(), response.Body())
 	}
 	after := time.Duration(e.Error.RetryAfterMillis) * time.Millisecond
-	return fault.New(fault.ParseKind(e.Error.Kind), "%s", e.Error.Message).After(after)
+	return fault.New(fault.ParseKind(e.Error.Kind), "%s", e.Error.Message).WithRetryAfter(after)
 }
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -7,15 +7,15 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// LongOver is how long a serving task may be over its target before what is known to slow it must give way, and nothing that
+// ViolationGrace is how long a serving task may be over its target before what is known to slow it must give way, and nothing that
 // fills may be added beside it. The platform's owners allow some four seconds, and a figure is half a second old.
-const LongOver = 1200 * time.Millisecond
+const ViolationGrace = 1200 * time.Millisecond
 
 const (
 	// Full is the highest pace in percent.
 	Full = 100
-	// Least is the lowest pace; a task does not disturb at it and still keeps its memory.
-	Least = 0
+	// Min is the lowest pace; a task does not disturb at it and still keeps its memory.
+	Min = 0
 	// rounds bounds the search; it ends earlier where no pace changes.
 	rounds = 4
 	// mustNot is what it is worth that a task which was over for long is not over any more: more than all that fills.
@@ -23,38 +23,38 @@
 )
 
 // choices are the paces that are weighed; the harm grows faster than the work, so that many tasks at a low pace may be better than one.
-var choices = []int{Full, 75, 50, 30, 15, Least}
+var choices = []int{Full, 75, 50, 30, 15, Min}
 
-// Served is a task that serves: the headroom that it likely has soon without neighbors, its standard deviation, and by how
+// ServingTask is a task that serves: the headroom that it likely has soon without neighbors, its standard deviation, and by how
 // much each filling image lowers it where it uses a whole worker.
-type Served struct {
+type ServingTask struct {
 	Headroom  float64
 	Deviation float64
 	Weights   map[string]float64
-	// Long says that it has been over its target for so long that what is known to slow it must give way, Longer that all
+	// SustainedViolation says that it has been over its target for so long that what is known to slow it must give way, Longer that all
 	// must.
-	Long   bool
-	Longer bool
+	SustainedViolation bool
+	ProlongedViolation bool
 }
 
-// Filling is an image that fills: the share of the worker that it would use at full pace.
-type Filling struct {
-	Image string
-	Whole float64
+// BestEffort is an image that fills: the share of the worker that it would use at full pace.
+type BestEffort struct {
+	Image     string
+	FullShare float64
 }
 
 // starvedWorth is by how much more the work of batch counts where it is starved altogether.
 const starvedWorth = 1.5
 
-// Reckon returns the pace of each filling image in percent, such that the work done outweighs the harm to what serves by
+// Choose returns the pace of each filling image in percent, such that the work done outweighs the harm to what serves by
 // as much as possible; batch that is starved, from 0 to 1, counts more.
-func Reckon(served []Served, filling []Filling, starved float64) map[string]int {
-	worth := (1 + starvedWorth*starved) / pressure.WorthOfOver
-	if slices.ContainsFunc(served, func(s Served) bool { return s.Longer }) {
+func Choose(served []ServingTask, filling []BestEffort, starved float64) map[string]int {
+	worth := (1 + starvedWorth*starved) / pressure.ViolationCost
+	if slices.ContainsFunc(served, func(s ServingTask) bool { return s.ProlongedViolation }) {
 		return stopAll(filling)
 	}
 	best := climb(served, filling, Full, worth)
-	other := climb(served, filling, Least, worth)
+	other := climb(served, filling, Min, worth)
 	if value(served, filling, other, worth) > value(served, filling, best, worth) {
 		best = other
 	}
@@ -66,16 +66,16 @@
 }
 
 // stopAll returns the lowest pace for each image.
-func stopAll(filling []Filling) map[string]int {
+func stopAll(filling []BestEffort) map[string]int {
 	paces := make(map[string]int, len(filling))
 	for _, f := range filling {
-		paces[f.Image] = Least
+		paces[f.Image] = Min
 	}
 	return paces
 }
 
 // climb changes one pace at a time, from all at one pace, for as long as it helps; worth is that of a worker full of batch.
-func climb(served []Served, filling []Filling, from int, worth float64) []int {
+func climb(served []ServingTask, filling []BestEffort, from int, worth float64) []int {
 	paces := make([]int, len(filling))
 	for i := range paces {
 		paces[i] = from
@@ -101,7 +101,7 @@
 }
 
 // value weighs the work done at some paces against the tasks that are likely over their targets.
-func value(served []Served, filling []Filling, paces []int, worth float64) float64 {
+func value(served []ServingTask, filling []BestEffort, paces []int, worth float64) float64 {
 	total := 0.0
 	for i, f := range filling {
 		total += worth * f.at(paces[i])
@@ -112,8 +112,8 @@
 			pressed += s.Weights[f.Image] * f.at(paces[i])
 		}
 		// Only what fills is held against it: what would be over without it as well costs nothing more.
-		harm := pressure.ChanceOver(s.Headroom-pressed, s.Deviation) - pressure.ChanceOver(s.Headroom, s.Deviation)
-		if s.Long {
+		harm := pressure.ViolationProbability(s.Headroom-pressed, s.Deviation) - pressure.ViolationProbability(s.Headroom, s.Deviation)
+		if s.SustainedViolation {
 			harm *= mustNot
 		}
 		total -= harm
@@ -122,4 +122,4 @@
 }
 
 // at returns the share of the worker that the image uses at a pace.
-func (f Filling) at(pace int) float64 { return f.Whole * float64(pace) / Full }
+func (f BestEffort) at(pace int) float64 { return f.FullShare * float64(pace) / Full }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -13,22 +13,22 @@
 
 // The reasons, in the order in which a node is tested.
 const (
-	Chosen           Reason = iota // chosen
-	NoNodes                        // no workers in the cell
-	NodeLeaving                    // worker is leaving or not heard of
-	NodeProbation                  // worker is on probation after failures
-	NodeReserved                   // worker is kept free for a task that has waited too long
-	NodePressed                    // services there are near their target
-	NodeHarm                       // it would slow a service there too much
-	NodeReplica                    // a replica of the service runs there
-	TooFewProcessors               // not enough free processors
-	TooLittleMemory                // not enough free memory
-	NoAccelerators                 // not enough free accelerators
+	Chosen             Reason = iota // chosen
+	NoWorkers                        // no workers in the cell
+	WorkerLeaving                    // worker is leaving or not heard of
+	WorkerProbation                  // worker is on probation after failures
+	WorkerReserved                   // worker is kept free for a task that has waited too long
+	WorkerNearTarget                 // services there are near their target
+	WorkerInterference               // it would slow a service there too much
+	WorkerHasReplica                 // a replica of the service runs there
+	TooFewProcessors                 // not enough free processors
+	TooLittleMemory                  // not enough free memory
+	NoAccelerators                   // not enough free accelerators
 	reasonCount
 )
 
-// Node is what is known of one VM.
-type Node struct {
+// Candidate is what is known of one VM.
+type Candidate struct {
 	capacity resource.Vector
 	free     resource.Vector
 	rack     int
@@ -39,43 +39,43 @@
 	rackmate int
 }
 
-// NewNode returns a node with its capacity and what is free of it, in a rack.
-func NewNode(capacity, free resource.Vector, rack int) Node {
-	return Node{capacity: capacity, free: free, rack: rack}
+// NewCandidate returns a node with its capacity and what is free of it, in a rack.
+func NewCandidate(capacity, free resource.Vector, rack int) Candidate {
+	return Candidate{capacity: capacity, free: free, rack: rack}
 }
 
 // Close keeps all tasks off the node for a reason.
-func (n *Node) Close(reason Reason) { n.closed = reason }
+func (n *Candidate) Close(reason Reason) { n.closed = reason }
 
-// Press keeps batch tasks off the node, since its services are near their target.
-func (n *Node) Press() { n.pressed = true }
+// BlockBatch keeps batch tasks off the node, since its services are near their target.
+func (n *Candidate) BlockBatch() { n.pressed = true }
 
-// SetHarm sets by how much, as an upper bound of the share of the target, the task would slow the services there.
-func (n *Node) SetHarm(harm float64) { n.harm = harm }
+// SetInterference sets by how much, as an upper bound of the share of the target, the task would slow the services there.
+func (n *Candidate) SetInterference(harm float64) { n.harm = harm }
 
 // SetReplicas sets how many replicas of the same service the node and its rack run.
-func (n *Node) SetReplicas(onNode, onRack int) { n.replicas, n.rackmate = onNode, onRack }
+func (n *Candidate) SetReplicas(onNode, onRack int) { n.replicas, n.rackmate = onNode, onRack }
 
 // HasReplica reports whether the node runs a replica of the same service.
-func (n *Node) HasReplica() bool { return n.replicas > 0 }
+func (n *Candidate) HasReplica() bool { return n.replicas > 0 }
 
-// Take lessens what is free on the node.
-func (n *Node) Take(size resource.Vector) { n.free = n.free.Sub(size) }
+// Allocate lessens what is free on the node.
+func (n *Candidate) Allocate(size resource.Vector) { n.free = n.free.Sub(size) }
 
 // Free returns what is free on the node.
-func (n *Node) Free() resource.Vector { return n.free }
+func (n *Candidate) Free() resource.Vector { return n.free }
 
 // Weights say how much each part of the cost counts.
 type Weights struct {
-	Fit     float64
-	Spread  float64
-	Harm    float64
-	MaxHarm float64
+	Fit             float64
+	Spread          float64
+	Interference    float64
+	MaxInterference float64
 }
 
 // DefaultWeights are the weights by which the simulated days of proving/decision were measured.
 func DefaultWeights() Weights {
-	return Weights{Fit: 1, Spread: 4, Harm: 6, MaxHarm: 0.12}
+	return Weights{Fit: 1, Spread: 4, Interference: 6, MaxInterference: 0.12}
 }
 
 // Request is the task to place.
@@ -89,23 +89,23 @@
 	return Request{size: size, service: service}
 }
 
-// Verdict is the answer: a node, or how many nodes were passed over for each reason.
-type Verdict struct {
+// Result is the answer: a node, or how many nodes were passed over for each reason.
+type Result struct {
 	node   int
 	cost   float64
 	counts [reasonCount]int
 }
 
-// Node returns the place of the chosen node, or -1 for none.
-func (v *Verdict) Node() int { return v.node }
+// Index returns the place of the chosen node, or -1 for none.
+func (v *Result) Index() int { return v.node }
 
-// Main returns the reason for which most nodes were passed over, or Chosen.
-func (v *Verdict) Main() Reason {
+// MainReason returns the reason for which most nodes were passed over, or Chosen.
+func (v *Result) MainReason() Reason {
 	if v.node >= 0 {
 		return Chosen
 	}
-	most := NoNodes
-	for r := NodeLeaving; r < reasonCount; r++ {
+	most := NoWorkers
+	for r := WorkerLeaving; r < reasonCount; r++ {
 		if v.counts[r] > v.counts[most] {
 			most = r
 		}
@@ -114,8 +114,8 @@
 }
 
 // Choose returns the node of least cost that the request fits on; it allocates nothing.
-func Choose(request Request, nodes []Node, weights Weights) Verdict {
-	verdict := Verdict{node: -1, cost: math.Inf(1)}
+func Choose(request Request, nodes []Candidate, weights Weights) Result {
+	verdict := Result{node: -1, cost: math.Inf(1)}
 	for i := range nodes {
 		n := &nodes[i]
 		if reason := n.refuses(request, weights); reason != Chosen {
@@ -129,12 +129,12 @@
 	return verdict
 }
 
-func (n *Node) refuses(request Request, weights Weights) Reason {
+func (n *Candidate) refuses(request Request, weights Weights) Reason {
 	switch {
 	case n.closed != Chosen:
 		return n.closed
 	case request.service && n.replicas > 0:
-		return NodeReplica
+		return WorkerHasReplica
 	case request.size.Processors() > n.free.Processors():
 		return TooFewProcessors
 	case request.size.Memory() > n.free.Memory():
@@ -142,29 +142,29 @@
 	case request.size.Accelerators() > n.free.Accelerators():
 		return NoAccelerators
 	case !request.service && n.pressed:
-		return NodePressed
-	case !request.service && n.harm > weights.MaxHarm:
-		return NodeHarm
+		return WorkerNearTarget
+	case !request.service && n.harm > weights.MaxInterference:
+		return WorkerInterference
 	default:
 		return Chosen
 	}
 }
 
-func (n *Node) cost(request Request, weights Weights) float64 {
+func (n *Candidate) cost(request Request, weights Weights) float64 {
 	left := n.free.Sub(request.size)
 	cost := weights.Fit * n.imbalance(left)
 	if request.service {
 		cost += weights.Spread * float64(n.rackmate)
 		cost += weights.Fit * (1 - share(left.Processors(), n.capacity.Processors()))
 	} else {
-		cost += weights.Harm * n.harm
+		cost += weights.Interference * n.harm
 		cost += weights.Fit * (1 - share(left.Processors(), n.capacity.Processors())) / 2
 	}
 	return cost
 }
 
 // imbalance is how far apart the shares of processors and memory that stay free are.
-func (n *Node) imbalance(left resource.Vector) float64 {
+func (n *Candidate) imbalance(left resource.Vector) float64 {
 	return math.Abs(share(left.Processors(), n.capacity.Processors()) - share(left.Memory(), n.capacity.Memory()))
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,11 +8,11 @@
 	"github.com/saffronpulley/saffronpulley/internal/resource"
 )
 
-func nodes(n int) []Node {
-	list := make([]Node, n)
+func nodes(n int) []Candidate {
+	list := make([]Candidate, n)
 	for i := range list {
-		list[i] = NewNode(resource.New(30000, 125000, 0), resource.New(int64(1000*(i%20)), 60000, 0), 1+i/3)
-		list[i].SetHarm(float64(i%7) / 100)
+		list[i] = NewCandidate(resource.New(30000, 125000, 0), resource.New(int64(1000*(i%20)), 60000, 0), 1+i/3)
+		list[i].SetInterference(float64(i%7) / 100)
 	}
 	return list
 }
@@ -24,11 +24,11 @@
 }
 
 func TestTheHarmlessNodeIsChosen(t *testing.T) {
-	harmed := NewNode(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
-	harmed.SetHarm(0.1)
-	quiet := NewNode(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
-	verdict := Choose(NewRequest(resource.New(1000, 1000, 0), false), []Node{harmed, quiet}, DefaultWeights())
-	assert.Equal(t, verdict.Node(), 1)
+	harmed := NewCandidate(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
+	harmed.SetInterference(0.1)
+	quiet := NewCandidate(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
+	verdict := Choose(NewRequest(resource.New(1000, 1000, 0), false), []Candidate{harmed, quiet}, DefaultWeights())
+	assert.Equal(t, verdict.Index(), 1)
 }
 
 func BenchmarkChoose(b *testing.B) {
--- a/internal/plan/cost.go
+++ b/internal/plan/cost.go
@@ -15,9 +15,9 @@
 
 // gain returns what a filling task is worth on a worker beyond the harm that it does there, and whether it suits.
 func (p *Planner) gain(w *Worker, g *Group) (float64, bool) {
-	worth := w.share(g.Step.Size.CPU) / pressure.WorthOfOver
+	worth := w.share(g.Step.Size.CPU) / pressure.ViolationCost
 	harm := w.harm(g.Step, p.pressure)
-	crowded := w.Spare() < g.Step.Size.CPU && w.Filling > 0
+	crowded := w.Spare() < g.Step.Size.CPU && w.BestEffortCPU > 0
 	return worth - harm, harm <= (mostHarm+lenientHarm*p.starved)*worth && !crowded
 }
 
@@ -42,7 +42,7 @@
 	}
 	var cost float64
 	switch {
-	case g.Step.Fills:
+	case g.Step.BestEffort:
 		gain, suits := p.gain(w, g)
 		if !g.Starved && !suits {
 			return 0, false
@@ -50,12 +50,12 @@
 		cost = 1 - w.share(w.Spare()) - gainWeight*gain
 	case g.Step.Serves():
 		cost = 1 - w.share(w.Used.CPU)
-		if w.Serving == 0 {
+		if w.ServingCPU == 0 {
 			cost += emptyCost
 		}
 		cost += clashCost * w.clash(g.Step.Image, p.pressure)
 	default:
-		cost = w.share(w.Used.CPU) + fillingWeight*w.share(w.Filling)
+		cost = w.share(w.Used.CPU) + fillingWeight*w.share(w.BestEffortCPU)
 	}
 	if g.Avoid[w.Host] {
 		cost += avoidedCost
--- a/internal/plan/gang.go
+++ b/internal/plan/gang.go
@@ -20,7 +20,7 @@
 }
 
 func (p *Planner) gangOn(workers []*Worker, g *Group) []Placement {
-	run := g.Job.NextGangRun(g.Time, g.Number)
+	run := g.Job.NextGangRun(g.Time, g.StepIndex)
 	var placed []Placement
 	var taken []*Worker
 	offers := p.offers(workers, g)
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -20,7 +20,7 @@
 // Planner is one plan under way; it takes its choices into account.
 type Planner struct {
 	workers  []*Worker
-	pressure Pressure
+	pressure PressureModel
 	// starved is how starved batch is, from 0 to 1.
 	starved float64
 	// full holds, by service and image, the least size of a plain filling task that no worker suits any more.
@@ -31,22 +31,22 @@
 type kind struct{ service, image string }
 
 // New returns a planner for workers of which nothing is placed yet.
-func New(workers []*Worker, weights Pressure) *Planner {
+func New(workers []*Worker, weights PressureModel) *Planner {
 	p := &Planner{workers: workers, pressure: weights, full: make(map[kind]job.Size)}
 	for _, w := range workers {
 		w.prover = nil
-		for _, image := range slices.Sorted(maps.Keys(w.Fills)) {
-			w.burden(image, w.Fills[image], weights)
+		for _, image := range slices.Sorted(maps.Keys(w.Shares)) {
+			w.burden(image, w.Shares[image], weights)
 		}
 	}
 	return p
 }
 
-// Starve lets batch that is starved, from 0 to 1, do more harm for its worth.
-func (p *Planner) Starve(starved float64) { p.starved = starved }
+// SetBacklog lets batch that is starved, from 0 to 1, do more harm for its worth.
+func (p *Planner) SetBacklog(starved float64) { p.starved = starved }
 
-// Make places what waits, most urgent first, and returns the placements in that order.
-func (p *Planner) Make(groups []*Group) []Placement {
+// Place places what waits, most urgent first, and returns the placements in that order.
+func (p *Planner) Place(groups []*Group) []Placement {
 	slices.SortStableFunc(groups, before)
 	var placed []Placement
 	for _, g := range groups {
@@ -101,13 +101,13 @@
 // plainFill reports whether only the size and the image of the group's tasks decide where they may go.
 func (g *Group) plainFill() bool {
 	s := g.Step
-	return s.Fills && !g.Starved && g.Suspect == 0 && g.Tickets == nil && s.Requires == "" && s.AntiAffinity == 0
+	return s.BestEffort && !g.Starved && g.SuspectScore == 0 && g.Tickets == nil && s.Requires == "" && s.AntiAffinity == 0
 }
 
 // take places a task of the group on a worker.
 func (p *Planner) take(w *Worker, g *Group, index, run int) Placement {
 	switch {
-	case g.Step.Fills:
+	case g.Step.BestEffort:
 		w.burden(g.Step.Image, w.share(g.Step.Size.CPU), p.pressure)
 	case g.Step.Serves():
 		w.serve(g.Step.Image, p.pressure)
@@ -118,16 +118,16 @@
 // giveBack undoes the latest take on a worker.
 func (p *Planner) giveBack(w *Worker, g *Group) {
 	switch {
-	case g.Step.Fills:
+	case g.Step.BestEffort:
 		w.burden(g.Step.Image, -w.share(g.Step.Size.CPU), p.pressure)
 	case g.Step.Serves():
-		w.Served = w.Served[:len(w.Served)-1]
+		w.ServingTasks = w.ServingTasks[:len(w.ServingTasks)-1]
 	}
 	g.giveBack(w)
 }
 
-// Suits reports whether some worker that the group does not avoid would suit a task of it.
-func (p *Planner) Suits(g *Group) bool {
+// HasSuitableWorker reports whether some worker that the group does not avoid would suit a task of it.
+func (p *Planner) HasSuitableWorker(g *Group) bool {
 	for _, w := range p.workers {
 		if g.Avoid[w.Host] || !w.admits(g) {
 			continue
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -23,8 +23,8 @@
 // Weight implements Pressure.
 func (p pairs) Weight(serving, filling string) (float64, float64) { return p[serving+"/"+filling], 0 }
 
-// Clash implements Pressure: images are alike, or not known to be.
-func (p pairs) Clash(a, b string) float64 {
+// Conflict implements Pressure: images are alike, or not known to be.
+func (p pairs) Conflict(a, b string) float64 {
 	if a == b {
 		return 0
 	}
@@ -57,7 +57,7 @@
 				want = strings.TrimSpace(string(f.Data))
 			}
 		}
-		assert.Equal(t, describe(New(workers, weights).Make(groups)), want)
+		assert.Equal(t, describe(New(workers, weights).Place(groups)), want)
 	})
 }
 
@@ -86,7 +86,7 @@
 	var workers []*Worker
 	for _, line := range lines {
 		words := strings.Fields(line)
-		w := &Worker{Host: job.Host{VM: words[0], Incarnation: incarnation.New(words[0], 0)}, Service: "s", Open: true, Trials: -1, Fills: map[string]float64{}}
+		w := &Worker{Host: job.Host{VM: words[0], Incarnation: incarnation.New(words[0], 0)}, Service: "s", Schedulable: true, Trials: -1, Shares: map[string]float64{}}
 		for _, word := range words[1:] {
 			name, value, _ := strings.Cut(word, "=")
 			switch name {
@@ -100,17 +100,17 @@
 				w.Used.CPU = int(decimal(t, value))
 			case "serves":
 				image, headroom, _ := strings.Cut(value, ":")
-				w.Served = append(w.Served, Served{Image: image, Headroom: decimal(t, headroom), Deviation: 0.3})
+				w.ServingTasks = append(w.ServingTasks, ServingTask{Image: image, Headroom: decimal(t, headroom), Deviation: 0.3})
 			case "pressed":
-				w.Pressed = true
+				w.BestEffortBlocked = true
 			case "closed":
-				w.Open = false
+				w.Schedulable = false
 			case "unproven":
-				w.Unproven = int(decimal(t, value))
+				w.Starting = int(decimal(t, value))
 			case "reserved":
-				w.Unproven, w.Reserved = 1, true
+				w.Starting, w.SuspectStarting = 1, true
 			case "kept":
-				w.Kept = true
+				w.ReservedForSuspect = true
 			case "trials":
 				w.Trials = int(decimal(t, value))
 			default:
@@ -129,7 +129,7 @@
 	for _, line := range lines {
 		words := strings.Fields(line)
 		step := job.Step{Count: 1}
-		g := &Group{Service: "s", Held: map[job.Host]int{}, Slack: time.Second, Late: time.Minute}
+		g := &Group{Service: "s", TasksByWorker: map[job.Host]int{}, Slack: time.Second, CutoffSlack: time.Minute}
 		for _, word := range words[1:] {
 			name, value, _ := strings.Cut(word, "=")
 			switch name {
@@ -140,13 +140,13 @@
 			case "memory":
 				step.Size.Memory = int(decimal(t, value))
 			case "fills":
-				step.Fills = true
+				step.BestEffort = true
 			case "gang":
 				step.Gang = true
 			case "samerack":
 				step.SameRack = true
 			case "lasting":
-				step.Lasting = true
+				step.LongRunning = true
 			case "target":
 				step.Target = time.Duration(decimal(t, value) * float64(time.Millisecond))
 			case "image":
@@ -160,7 +160,7 @@
 			case "slack":
 				g.Slack = time.Duration(decimal(t, value) * float64(time.Second))
 			case "late":
-				g.Late = time.Duration(decimal(t, value) * float64(time.Second))
+				g.CutoffSlack = time.Duration(decimal(t, value) * float64(time.Second))
 			case "work":
 				g.Work = decimal(t, value)
 			case "priority":
@@ -168,7 +168,7 @@
 			case "starved":
 				g.Starved = true
 			case "suspect":
-				g.Suspect = int(decimal(t, value))
+				g.SuspectScore = int(decimal(t, value))
 			default:
 				t.Fatalf("%s: what is %s?", line, name)
 			}
@@ -189,19 +189,19 @@
 	var workers []*Worker
 	for i := range rapid.IntRange(1, 5).Draw(t, "workers") {
 		workers = append(workers, &Worker{
-			Host: job.Host{VM: strconv.Itoa(i)}, Service: "s", Open: true, Trials: -1, Labels: []string{"k", "r" + strconv.Itoa(i%2)},
+			Host: job.Host{VM: strconv.Itoa(i)}, Service: "s", Schedulable: true, Trials: -1, Labels: []string{"k", "r" + strconv.Itoa(i%2)},
 			Capacity: job.Size{CPU: rapid.IntRange(0, 8).Draw(t, "cpu") * 1000, Memory: rapid.IntRange(0, 8).Draw(t, "memory") * 1000},
 		})
 	}
 	var groups []*Group
 	for i := range rapid.IntRange(1, 6).Draw(t, "groups") {
 		step := job.Step{
-			Count: rapid.IntRange(1, 6).Draw(t, "count"), Gang: rapid.Bool().Draw(t, "gang"), Fills: rapid.Bool().Draw(t, "fills"),
+			Count: rapid.IntRange(1, 6).Draw(t, "count"), Gang: rapid.Bool().Draw(t, "gang"), BestEffort: rapid.Bool().Draw(t, "fills"),
 			Size:         job.Size{CPU: rapid.IntRange(0, 4).Draw(t, "asked cpu") * 1000, Memory: rapid.IntRange(0, 4).Draw(t, "asked memory") * 1000},
 			AntiAffinity: rapid.IntRange(0, 2).Draw(t, "apart"), SameRack: rapid.Bool().Draw(t, "same rack"),
 		}
 		j := job.New(job.ID(fmt.Sprintf("%016x", i)), job.Spec{Steps: []job.Step{step}}, job.Queue{}, time.Unix(1, 0))
-		g := &Group{Job: j, Step: &j.Spec().Steps[0], Service: "s", Held: map[job.Host]int{}}
+		g := &Group{Job: j, Step: &j.Spec().Steps[0], Service: "s", TasksByWorker: map[job.Host]int{}}
 		for n := range step.Count {
 			g.Indexes = append(g.Indexes, n)
 		}
@@ -218,10 +218,10 @@
 		for _, w := range workers {
 			for range rapid.IntRange(0, 2).Draw(t, "strangers") {
 				stranger := &Worker{
-					Host: job.Host{VM: fmt.Sprintf("%s-%d", w.Host.VM, len(mixed))}, Trials: -1, Open: rapid.Bool().Draw(t, "open"),
+					Host: job.Host{VM: fmt.Sprintf("%s-%d", w.Host.VM, len(mixed))}, Trials: -1, Schedulable: rapid.Bool().Draw(t, "open"),
 					Capacity: job.Size{CPU: rapid.IntRange(-9, 99).Draw(t, "stranger's cpu") * 1000, Memory: 99000},
 				}
-				if !stranger.Open {
+				if !stranger.Schedulable {
 					stranger.Service = "s"
 				}
 				mixed = append(mixed, stranger)
@@ -232,11 +232,11 @@
 		again := make([]*Group, len(groups))
 		for i, g := range groups {
 			copied := *g
-			copied.Held = map[job.Host]int{}
+			copied.TasksByWorker = map[job.Host]int{}
 			again[i] = &copied
 		}
-		want := describe(New(workers, pairs{}).Make(again))
-		if got := describe(New(mixed, pairs{}).Make(groups)); got != want {
+		want := describe(New(workers, pairs{}).Place(again))
+		if got := describe(New(mixed, pairs{}).Place(groups)); got != want {
 			t.Fatalf("with strangers\n%s\nwithout\n%s", got, want)
 		}
 	})
@@ -246,10 +246,10 @@
 func TestNeverBeyondRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers, groups := drawPlan(t)
-		placed := New(workers, pairs{}).Make(groups)
+		placed := New(workers, pairs{}).Place(groups)
 		used, held, members := make(map[job.Host]job.Size), make(map[string]int), make(map[job.ID]int)
 		for _, p := range placed {
-			used[p.Host] = used[p.Host].Plus(p.Step.Room())
+			used[p.Host] = used[p.Host].Plus(p.Step.Reservation())
 			held[p.Host.VM+string(p.Task.Job)]++
 			members[p.Task.Job]++
 			if p.Step.AntiAffinity > 0 && held[p.Host.VM+string(p.Task.Job)] > p.Step.AntiAffinity {
@@ -272,16 +272,16 @@
 func TestOrderDoesNotHangOnTheOrderOfInput(t *testing.T) {
 	lines := []string{"1 cpu=1 slack=2", "2 fills cpu=1 image=x", "3 lasting cpu=1", "4 cpu=1 slack=1", "5 fills cpu=1 slack=-1", "6 fills cpu=1 late=-1"}
 	workers := func() []*Worker { return parseWorkers(t, []string{"a cpu=1000 memory=10"}) }
-	want := describe(New(workers(), pairs{}).Make(parseGroups(t, lines)))
+	want := describe(New(workers(), pairs{}).Place(parseGroups(t, lines)))
 	slices.Reverse(lines)
-	assert.Equal(t, describe(New(workers(), pairs{}).Make(parseGroups(t, lines))), want)
+	assert.Equal(t, describe(New(workers(), pairs{}).Place(parseGroups(t, lines))), want)
 	assert.Equal(t, want, "4.0 a\n1.0 a\n3.0 a\n2.0 a\n5.0 a\n6.0 a")
 }
 
 // TestGangThatIsGivenBackCostsNoTrial failed with a trial used up by a gang that was not placed.
 func TestGangThatIsGivenBackCostsNoTrial(t *testing.T) {
 	workers := parseWorkers(t, []string{"a cpu=4000 memory=1000 trials=1"})
-	assert.Equal(t, len(New(workers, pairs{}).Make(parseGroups(t, []string{"1 gang count=2 cpu=1000"}))), 0)
+	assert.Equal(t, len(New(workers, pairs{}).Place(parseGroups(t, []string{"1 gang count=2 cpu=1000"}))), 0)
 	assert.Equal(t, workers[0].Trials, 1)
 	assert.Equal(t, workers[0].Used, job.Size{})
 }
--- a/internal/plan/suspect.go
+++ b/internal/plan/suspect.go
@@ -8,26 +8,26 @@
 	case w.prover != nil && w.prover == g:
 		// The members of a gang start together.
 		return g.Step.Gang
-	case w.prover != nil || w.Reserved:
+	case w.prover != nil || w.SuspectStarting:
 		return false
-	case g.Suspect > 0:
-		return w.Unproven == 0
+	case g.SuspectScore > 0:
+		return w.Starting == 0
 	}
-	return !w.Kept
+	return !w.ReservedForSuspect
 }
 
 // prove counts a task of a group as one that has not outlived its start here.
 func (w *Worker) prove(g *Group) {
-	w.Unproven++
-	if g.Suspect > 0 {
+	w.Starting++
+	if g.SuspectScore > 0 {
 		w.prover = g
 	}
 }
 
 // unprove undoes prove.
 func (w *Worker) unprove(g *Group) {
-	w.Unproven--
-	if w.prover == g && w.Unproven == 0 {
+	w.Starting--
+	if w.prover == g && w.Starting == 0 {
 		w.prover = nil
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -39,8 +39,8 @@
 // Connections returns how many connections a worker of a service takes at once, 0 where that is not told.
 func (p *Policy) Connections(service string) int { return p.connections[service] }
 
-// Names reports whether the configuration names a service.
-func (p *Policy) Names(service string) bool {
+// HasService reports whether the configuration names a service.
+func (p *Policy) HasService(service string) bool {
 	_, named := p.connections[service]
 	return named
 }
--- a/internal/pressure/clash.go
+++ b/internal/pressure/conflict.go
@@ -13,9 +13,9 @@
 	unknownClash = 0.5
 )
 
-// Clash returns how differently two serving images suffer from what fills: 0 where the same images slow both, 1 where what
+// Conflict returns how differently two serving images suffer from what fills: 0 where the same images slow both, 1 where what
 // slows one spares the other. Images that clash leave no filling image that spares a worker of both.
-func (m *Model) Clash(a, b string) float64 {
+func (m *Model) Conflict(a, b string) float64 {
 	if a == b {
 		return 0
 	}
--- a/internal/pressure/load.go
+++ b/internal/pressure/load.go
@@ -22,18 +22,18 @@
 // Load is the headroom that the tasks of a step have without neighbors at a time, its slope in headroom a second, its usual
 // value, and the standard deviation of a task's.
 type Load struct {
-	Value     float64
+	Headroom  float64
 	Slope     float64
-	Usual     float64
+	Mean      float64
 	Deviation float64
-	Seen      time.Time
+	Time      time.Time
 }
 
-// Ahead returns the headroom at a later time, where loads swing at a speed in radians a second.
-func (l Load) Ahead(at time.Time, swing float64) float64 {
-	gap := max(at.Sub(l.Seen).Seconds(), 0)
-	moved := motionOf(gap, swing).apply([loadSlots]float64{valueSlot: l.Value, slopeSlot: l.Slope, usualSlot: l.Usual})
-	return min(max(moved[valueSlot], 0), MostHeadroom)
+// Predict returns the headroom at a later time, where loads swing at a speed in radians a second.
+func (l Load) Predict(at time.Time, swing float64) float64 {
+	gap := max(at.Sub(l.Time).Seconds(), 0)
+	moved := motionOf(gap, swing).apply([loadSlots]float64{valueSlot: l.Headroom, slopeSlot: l.Slope, usualSlot: l.Mean})
+	return min(max(moved[valueSlot], 0), MaxHeadroom)
 }
 
 // The slots of a load.
--- a/internal/pressure/model.go
+++ b/internal/pressure/model.go
@@ -96,7 +96,7 @@
 		factors := append(slices.Clone(weights), factor{slot: value, times: 1})
 		known := f.spread(factors)
 		f.correct(factors, off, known+noiseOfSample(s, shown, pressed, off, known))
-		f.mean[value] = min(max(f.mean[value], 0), MostHeadroom)
+		f.mean[value] = min(max(f.mean[value], 0), MaxHeadroom)
 		f.loosen(weights)
 	}
 	return max(f.mean[value]-f.pressed(weights), 0)
@@ -111,7 +111,7 @@
 // a few tasks may be one that rises alone; it then tells little.
 func noiseOfSample(s Sample, shown, pressed, off, known float64) float64 {
 	count := float64(len(s.Headrooms))
-	noise := Blur(shown, s.TargetMillis)/count + pressedNoise*pressed*pressed
+	noise := MeasurementVariance(shown, s.TargetMillis)/count + pressedNoise*pressed*pressed
 	if len(s.Headrooms) >= enoughTasks {
 		return noise
 	}
@@ -142,13 +142,13 @@
 	}
 	slots, variance := f.ahead(l, now, m.swing.speed())
 	return Load{
-		Value: slots[valueSlot], Slope: slots[slopeSlot], Usual: slots[usualSlot],
-		Deviation: math.Sqrt(variance + steadyDeviation*steadyDeviation), Seen: now,
+		Headroom: slots[valueSlot], Slope: slots[slopeSlot], Mean: slots[usualSlot],
+		Deviation: math.Sqrt(variance + steadyDeviation*steadyDeviation), Time: now,
 	}, true
 }
 
-// Ahead returns the headroom that a task of a load likely has at a time without neighbors, and its standard deviation.
-func (m *Model) Ahead(serving, name string, at time.Time) (float64, float64) {
+// Predict returns the headroom that a task of a load likely has at a time without neighbors, and its standard deviation.
+func (m *Model) Predict(serving, name string, at time.Time) (float64, float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f, l := m.followed(serving, name, at)
@@ -156,11 +156,11 @@
 		return UnknownHeadroom, UnknownDeviation
 	}
 	slots, variance := f.ahead(l, at, m.swing.speed())
-	return min(max(slots[valueSlot], 0), MostHeadroom), min(math.Sqrt(variance+ownDeviation*ownDeviation), UnknownDeviation)
+	return min(max(slots[valueSlot], 0), MaxHeadroom), min(math.Sqrt(variance+ownDeviation*ownDeviation), UnknownDeviation)
 }
 
-// Swing returns how fast the loads of serving tasks swing, in radians a second.
-func (m *Model) Swing() float64 {
+// LoadFrequency returns how fast the loads of serving tasks swing, in radians a second.
+func (m *Model) LoadFrequency() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.swing.speed()
--- a/internal/pressure/model_test.go
+++ b/internal/pressure/model_test.go
@@ -83,7 +83,7 @@
 		expected := m.Observe(now, Sample{Image: "web", Load: "a", Headrooms: []float64{2.5, 1, 2.5}, TargetMillis: targetMillis}, nil)
 		assert.Assert(t, math.Abs(expected-2.5) < 0.2, "%.2f", expected)
 	}
-	headroom, _ := m.Ahead("web", "a", now)
+	headroom, _ := m.Predict("web", "a", now)
 	assert.Assert(t, math.Abs(headroom-2.5) < 0.2, "%.2f", headroom)
 }
 
@@ -94,29 +94,29 @@
 		d.observe(m, nil, 0)
 	}
 	at := d.now.Add(2 * time.Second)
-	headroom, deviation := m.Ahead("web", d.load, at)
+	headroom, deviation := m.Predict("web", d.load, at)
 	load, known := m.Load("web", d.load, d.now)
 	assert.Assert(t, known)
-	assert.Assert(t, math.Abs(load.Ahead(at, m.Swing())-headroom) < 1e-9)
+	assert.Assert(t, math.Abs(load.Predict(at, m.LoadFrequency())-headroom) < 1e-9)
 	_, known = m.Load("web", "none", d.now)
 	assert.Assert(t, !known)
 	d.now = at
 	assert.Assert(t, math.Abs(headroom-d.own()) < 0.4, "%.2f is foretold, and %.2f came", headroom, d.own())
 	assert.Assert(t, deviation < UnknownDeviation)
-	headroom, deviation = m.Ahead("web", d.load, at.Add(time.Minute))
+	headroom, deviation = m.Predict("web", d.load, at.Add(time.Minute))
 	assert.Equal(t, headroom, UnknownHeadroom)
 	assert.Equal(t, deviation, UnknownDeviation)
 }
 
 // TestOwnRiseFades: what a task is off its load is half gone within a second and nearly gone in five.
 func TestOwnRiseFades(t *testing.T) {
-	var own Own
+	var own Residual
 	now := time.Unix(1, 0)
-	assert.Equal(t, own.Ahead(now), 0.0)
+	assert.Equal(t, own.Predict(now), 0.0)
 	own.Observe(now, -1)
-	assert.Equal(t, own.Ahead(now), -1.0)
-	assert.Assert(t, own.Ahead(now.Add(time.Second)) > -0.5)
-	assert.Assert(t, own.Ahead(now.Add(5*time.Second)) > -0.05)
+	assert.Equal(t, own.Predict(now), -1.0)
+	assert.Assert(t, own.Predict(now.Add(time.Second)) > -0.5)
+	assert.Assert(t, own.Predict(now.Add(5*time.Second)) > -0.05)
 }
 
 // TestSaturatedTailsTeachNothingWrong: a tail far over its target says only that there is no headroom left.
@@ -141,22 +141,22 @@
 			}
 		}
 		want := 2 * math.Pi / period
-		assert.Assert(t, math.Abs(m.Swing()-want) < 0.2*want, "period %.0f: %.3f in place of %.3f", period, m.Swing(), want)
+		assert.Assert(t, math.Abs(m.LoadFrequency()-want) < 0.2*want, "period %.0f: %.3f in place of %.3f", period, m.LoadFrequency(), want)
 	}
 }
 
 func TestTrackLooksAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDay(rapid.Float64Range(0, 1).Draw(t, "phase"))
-		var track Track
-		track.Follow(2 * math.Pi / d.period)
+		var track Tracker
+		track.SetFrequency(2 * math.Pi / d.period)
 		for range 80 {
 			d.now = d.now.Add(500 * time.Millisecond)
 			shown := d.figure(0)
-			track.Observe(d.now, shown, Blur(shown, targetMillis))
+			track.Observe(d.now, shown, MeasurementVariance(shown, targetMillis))
 		}
 		at := d.now.Add(time.Second)
-		ahead, deviation := track.Ahead(at)
+		ahead, deviation := track.Predict(at)
 		d.now = at
 		if math.Abs(ahead-d.own()) > 0.5 || deviation > UnknownDeviation {
 			t.Fatalf("%.2f is foretold with a deviation of %.2f, and %.2f came", ahead, deviation, d.own())
@@ -165,14 +165,14 @@
 }
 
 func TestTrackForgetsWhatIsOld(t *testing.T) {
-	var track Track
-	headroom, deviation := track.Ahead(time.Unix(1, 0))
+	var track Tracker
+	headroom, deviation := track.Predict(time.Unix(1, 0))
 	assert.Equal(t, headroom, UnknownHeadroom)
 	assert.Equal(t, deviation, UnknownDeviation)
 	track.Observe(time.Unix(1, 0), 1, 0.01)
-	headroom, _ = track.Ahead(time.Unix(1, 1e8))
+	headroom, _ = track.Predict(time.Unix(1, 1e8))
 	assert.Assert(t, headroom < 1.5)
-	headroom, _ = track.Ahead(time.Unix(60, 0))
+	headroom, _ = track.Predict(time.Unix(60, 0))
 	assert.Equal(t, headroom, UnknownHeadroom)
 }
 
@@ -184,11 +184,11 @@
 
 func TestHeadroomAndChance(t *testing.T) {
 	assert.Equal(t, Headroom(18, 18), 1.0)
-	assert.Equal(t, Headroom(0, 18), float64(MostHeadroom))
+	assert.Equal(t, Headroom(0, 18), float64(MaxHeadroom))
 	assert.Equal(t, Headroom(18, 0), 0.0)
-	assert.Equal(t, ChanceOver(1, 0.3), 0.5)
-	assert.Assert(t, ChanceOver(2, 0.3) < 0.01 && ChanceOver(0, 0.3) > 0.99)
-	assert.Assert(t, ChanceOver(1.1, 0) > 0, "nothing is taken as certain")
+	assert.Equal(t, ViolationProbability(1, 0.3), 0.5)
+	assert.Assert(t, ViolationProbability(2, 0.3) < 0.01 && ViolationProbability(0, 0.3) > 0.99)
+	assert.Assert(t, ViolationProbability(1.1, 0) > 0, "nothing is taken as certain")
 }
 
 func TestMeanOfTwoFigures(t *testing.T) {
@@ -214,7 +214,7 @@
 		is, _ := again.Weight("web", filling)
 		assert.Assert(t, math.Abs(was-is) < 1e-5)
 	}
-	assert.Equal(t, m.Swing(), again.Swing())
+	assert.Equal(t, m.LoadFrequency(), again.LoadFrequency())
 	assert.Assert(t, again.Restore([]byte("no model")) != nil)
 	was, _ := m.Weight("web", "mail")
 	is, _ := again.Weight("web", "mail")
@@ -223,7 +223,7 @@
 
 func TestImagesClashWhereOthersSlowThem(t *testing.T) {
 	m := NewModel()
-	assert.Equal(t, m.Clash("web", "chat"), unknownClash)
+	assert.Equal(t, m.Conflict("web", "chat"), unknownClash)
 	fills := []string{"a", "b", "c", "d", "e", "f"}
 	slowedBy := map[string]string{"web": "abc", "chat": "abc", "shop": "def"}
 	for serving, slows := range slowedBy {
@@ -237,10 +237,10 @@
 			}
 		}
 	}
-	assert.Equal(t, m.Clash("web", "web"), 0.0)
-	assert.Equal(t, m.Clash("web", "chat"), 0.0)
-	assert.Assert(t, m.Clash("web", "shop") > 0.7)
-	assert.Equal(t, m.Clash("web", "shop"), m.Clash("shop", "web"))
+	assert.Equal(t, m.Conflict("web", "web"), 0.0)
+	assert.Equal(t, m.Conflict("web", "chat"), 0.0)
+	assert.Assert(t, m.Conflict("web", "shop") > 0.7)
+	assert.Equal(t, m.Conflict("web", "shop"), m.Conflict("shop", "web"))
 }
 
 // TestManyImagesTakeNoMoreRoom: callers choose the names of images.
--- a/internal/pressure/own.go
+++ b/internal/pressure/residual.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Own follows by how much the headroom of a task is off what its load and its neighbors explain. The zero Own is off by
+// Residual follows by how much the headroom of a task is off what its load and its neighbors explain. The zero Residual is off by
 // nothing.
-type Own struct {
+type Residual struct {
 	off  float64
 	seen time.Time
 }
@@ -17,10 +17,10 @@
 const ownAfter = 1.4
 
 // Observe takes by how much the task is off.
-func (o *Own) Observe(now time.Time, off float64) { o.off, o.seen = off, now }
+func (o *Residual) Observe(now time.Time, off float64) { o.off, o.seen = off, now }
 
-// Ahead returns by how much the task is likely off at a time.
-func (o *Own) Ahead(at time.Time) float64 {
+// Predict returns by how much the task is likely off at a time.
+func (o *Residual) Predict(at time.Time) float64 {
 	if o.seen.IsZero() {
 		return 0
 	}
--- a/internal/pressure/track.go
+++ b/internal/pressure/tracker.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Track follows the headroom that a serving task would have without neighbors, which swings with its load around a usual
-// value, by a Kalman filter over the headroom and its slope. The zero Track has seen nothing.
+// Tracker follows the headroom that a serving task would have without neighbors, which swings with its load around a usual
+// value, by a Kalman filter over the headroom and its slope. The zero Tracker has seen nothing.
 //
 // Weighed on a recorded day: a straight line whose slope fades predicts who is over its target with a mean logarithmic
 // loss of 0.154, a swing of the right period with 0.136.
-type Track struct {
+type Tracker struct {
 	value, slope float64
 	// spread is the covariance of value and slope.
 	spread [2][2]float64
@@ -39,17 +39,17 @@
 	mostGap = 5.0
 )
 
-// Seen reports whether the task has shown a figure.
-func (t *Track) Seen() bool { return !t.seen.IsZero() }
+// HasObservation reports whether the task has shown a figure.
+func (t *Tracker) HasObservation() bool { return !t.seen.IsZero() }
 
-// Follow sets the angular speed of the swing, in radians a second.
-func (t *Track) Follow(swing float64) { t.swing = swing }
+// SetFrequency sets the angular speed of the swing, in radians a second.
+func (t *Tracker) SetFrequency(swing float64) { t.swing = swing }
 
 // advance brings the estimate to a time.
-func (t *Track) advance(now time.Time) {
+func (t *Tracker) advance(now time.Time) {
 	gap := now.Sub(t.seen).Seconds()
-	if !t.Seen() || gap > mostGap {
-		*t = Track{value: UnknownHeadroom, usual: UnknownHeadroom, swing: t.swing, seen: now}
+	if !t.HasObservation() || gap > mostGap {
+		*t = Tracker{value: UnknownHeadroom, usual: UnknownHeadroom, swing: t.swing, seen: now}
 		t.spread[0][0] = UnknownDeviation * UnknownDeviation
 		t.spread[1][1] = slopeDeviation * slopeDeviation
 		return
@@ -75,10 +75,10 @@
 }
 
 // correct takes by how much the headroom was off what was predicted, with the whole variance of that difference.
-func (t *Track) correct(off, variance float64) {
+func (t *Tracker) correct(off, variance float64) {
 	s := t.spread
 	gain := [2]float64{s[0][0] / variance, s[1][0] / variance}
-	t.value = min(max(t.value+gain[0]*off, 0), MostHeadroom)
+	t.value = min(max(t.value+gain[0]*off, 0), MaxHeadroom)
 	t.slope += gain[1] * off
 	for i := range gain {
 		for j := range gain {
@@ -89,19 +89,19 @@
 }
 
 // Observe takes a headroom without neighbors and its variance into account.
-func (t *Track) Observe(now time.Time, headroom, variance float64) {
+func (t *Tracker) Observe(now time.Time, headroom, variance float64) {
 	t.advance(now)
 	t.correct(headroom-t.value, t.spread[0][0]+variance)
 }
 
-// Ahead returns the headroom without neighbors that is likely at a time, and its standard deviation.
-func (t *Track) Ahead(at time.Time) (float64, float64) {
-	if !t.Seen() || at.Sub(t.seen).Seconds() > mostGap {
+// Predict returns the headroom without neighbors that is likely at a time, and its standard deviation.
+func (t *Tracker) Predict(at time.Time) (float64, float64) {
+	if !t.HasObservation() || at.Sub(t.seen).Seconds() > mostGap {
 		return UnknownHeadroom, UnknownDeviation
 	}
 	after := max(at.Sub(t.seen).Seconds(), 0)
 	ahead := *t
 	ahead.advance(at)
 	value := t.usual + (ahead.value-t.usual)*math.Exp(-after/usualAfter)
-	return min(max(value, 0), MostHeadroom), min(math.Sqrt(max(ahead.spread[0][0], 0)), UnknownDeviation)
+	return min(max(value, 0), MaxHeadroom), min(math.Sqrt(max(ahead.spread[0][0], 0)), UnknownDeviation)
 }
--- a/internal/probation/probation.go
+++ b/internal/probation/probation.go
@@ -41,15 +41,15 @@
 	return !r.trial && !now.Before(r.until)
 }
 
-// Try takes note that work was sent; on probation it is the trial.
-func (p Policy) Try(r *Record) {
+// StartTrial takes note that work was sent; on probation it is the trial.
+func (p Policy) StartTrial(r *Record) {
 	if r.strikes > 0 {
 		r.trial = true
 	}
 }
 
-// Drop takes note that a trial was not run after all.
-func (p Policy) Drop(r *Record) { r.trial = false }
+// CancelTrial takes note that a trial was not run after all.
+func (p Policy) CancelTrial(r *Record) { r.trial = false }
 
 // OnProbation reports whether the record is not clean.
 func (r *Record) OnProbation() bool { return r.strikes > 0 }
--- a/internal/queueing/queueing.go
+++ b/internal/queueing/queueing.go
@@ -22,8 +22,8 @@
 	return &Team{used: used, quota: quota, weight: max(weight, 1)}
 }
 
-// Take adds to what the team uses.
-func (t *Team) Take(size resource.Vector) { t.used = t.used.Add(size) }
+// Allocate adds to what the team uses.
+func (t *Team) Allocate(size resource.Vector) { t.used = t.used.Add(size) }
 
 // Allows reports whether the team may take size within its quota.
 func (t *Team) Allows(size resource.Vector) bool {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -9,17 +9,17 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// Keys of the store. Entries write under Inputs, only the lead under Progress; both hold a key for each job.
+// Keys of the store. Entries write under InputPrefix, only the lead under ProgressPrefix; both hold a key for each job.
 const (
-	LeadKey  = "saffronpulley/lead"
-	ChainKey = "saffronpulley/chain"
+	LeaderKey     = "saffronpulley/lead"
+	LastCommitKey = "saffronpulley/chain"
 	// PressureKey holds what the leads have learned of images that slow each other.
-	PressureKey = "saffronpulley/pressure"
-	Inputs      = "saffronpulley/in/"
-	Progress    = "saffronpulley/run/"
+	PressureKey    = "saffronpulley/pressure"
+	InputPrefix    = "saffronpulley/in/"
+	ProgressPrefix = "saffronpulley/run/"
 
-	jobs    = Inputs + "job/"
-	cancels = Inputs + "cancel/"
+	jobs    = InputPrefix + "job/"
+	cancels = InputPrefix + "cancel/"
 )
 
 // JobKey returns the key of an accepted job, which never changes.
@@ -29,39 +29,39 @@
 func CancelKey(id job.ID) string { return cancels + string(id) }
 
 // ProgressKey returns the key of how far a job is.
-func ProgressKey(id job.ID) string { return Progress + string(id) }
+func ProgressKey(id job.ID) string { return ProgressPrefix + string(id) }
 
-// JobOf returns the job of an accepted job's key.
-func JobOf(key string) (job.ID, bool) {
+// ParseJobKey returns the job of an accepted job's key.
+func ParseJobKey(key string) (job.ID, bool) {
 	id, ok := strings.CutPrefix(key, jobs)
 	return job.ID(id), ok
 }
 
-// CancelOf returns the job of a cancellation's key.
-func CancelOf(key string) (job.ID, bool) {
+// ParseCancelKey returns the job of a cancellation's key.
+func ParseCancelKey(key string) (job.ID, bool) {
 	id, ok := strings.CutPrefix(key, cancels)
 	return job.ID(id), ok
 }
 
-// ProgressOf returns the job of a progress' key.
-func ProgressOf(key string) (job.ID, bool) {
-	id, ok := strings.CutPrefix(key, Progress)
+// ParseProgressKey returns the job of a progress' key.
+func ParseProgressKey(key string) (job.ID, bool) {
+	id, ok := strings.CutPrefix(key, ProgressPrefix)
 	return job.ID(id), ok
 }
 
-// Lead says who leads; it stands under a lease.
-type Lead struct {
+// Leader says who leads; it stands under a lease.
+type Leader struct {
 	_ struct{} `cbor:",toarray"`
-	// Node and Boot name the process and its life, Address is where agents and entries reach it.
-	Node    string
+	// Process and Boot name the process and its life, Address is where agents and entries reach it.
+	Process string
 	Boot    string
 	Address string
 	// Epoch rises with each lead.
 	Epoch uint64
 }
 
-// Chain is written with each commit of a lead, so that a commit of an earlier one, or one that was given up, fails.
-type Chain struct {
+// LastCommit is written with each commit of a lead, so that a commit of an earlier one, or one that was given up, fails.
+type LastCommit struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch uint64
 	Boot  string
@@ -70,17 +70,17 @@
 }
 
 // Encode returns the record as it is stored.
-func Encode[T Lead | Chain](record T) ([]byte, error) { return cbor.Marshal(record) }
+func Encode[T Leader | LastCommit](record T) ([]byte, error) { return cbor.Marshal(record) }
 
-// DecodeLead reads who leads.
-func DecodeLead(data []byte) (Lead, error) { return decode[Lead](data, LeadKey) }
+// DecodeLeader reads who leads.
+func DecodeLeader(data []byte) (Leader, error) { return decode[Leader](data, LeaderKey) }
 
-// DecodeChain reads the last commit; no data is a chain that has not begun.
-func DecodeChain(data []byte) (Chain, error) {
+// DecodeLastCommit reads the last commit; no data is a chain that has not begun.
+func DecodeLastCommit(data []byte) (LastCommit, error) {
 	if len(data) == 0 {
-		return Chain{}, nil
+		return LastCommit{}, nil
 	}
-	return decode[Chain](data, ChainKey)
+	return decode[LastCommit](data, LastCommitKey)
 }
 
 func decode[T any](data []byte, key string) (T, error) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -43,7 +43,7 @@
 	direct   kv.Store
 	health   *kv.Health
 	pool     *Pool
-	patience *wait.Patience
+	patience *wait.Timeout
 
 	mu sync.Mutex
 	// asked is when the store itself was last asked.
@@ -61,7 +61,7 @@
 
 // New returns a store over the direct one, of which health is known, and the entries of a pool.
 func New(direct kv.Store, health *kv.Health, pool *Pool) *Store {
-	s := &Store{direct: direct, health: health, pool: pool, patience: wait.NewPatience(directLeast, directMost)}
+	s := &Store{direct: direct, health: health, pool: pool, patience: wait.NewTimeout(directLeast, directMost)}
 	s.serving, s.end = context.WithCancel(context.Background())
 	return s
 }
@@ -202,7 +202,7 @@
 	if !unanswered(err) {
 		return err
 	}
-	again := s.once(ctx, direct, max(s.patience.Longer(patience), secondLeast))
+	again := s.once(ctx, direct, max(s.patience.Extend(patience), secondLeast))
 	if settled(again) || unanswered(again) {
 		return again
 	}
@@ -226,7 +226,7 @@
 	s.mu.Unlock()
 	err := direct(bounded)
 	if settled(err) {
-		s.patience.Answered(time.Since(asked))
+		s.patience.Observe(time.Since(asked))
 	}
 	return err
 }
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -10,19 +10,19 @@
 type Policy struct {
 	// Slack is the slowdown of services that batch tasks may cause in any case.
 	Slack float64
-	// Safe is the share of its target that a service is kept under, Use the part of the headroom to it that batch
+	// SafeRatio is the share of its target that a service is kept under, Use the part of the headroom to it that batch
 	// tasks may use beyond the slack, and Most bounds that.
-	Safe float64
-	Use  float64
-	Most float64
-	// Breach is the share of its target at which a service is in trouble.
-	Breach float64
+	SafeRatio     float64
+	HeadroomShare float64
+	MaxSlack      float64
+	// BreachRatio is the share of its target at which a service is in trouble.
+	BreachRatio float64
 	// LookAhead is how far ahead a slowdown that grows is reckoned with, since measurements lag.
 	LookAhead time.Duration
-	// Floor is the least throttle, in percent.
-	Floor int
-	// Raise is by how many percent a throttle is loosened in a step.
-	Raise int
+	// MinThrottle is the least throttle, in percent.
+	MinThrottle int
+	// RaiseStep is by how many percent a throttle is loosened in a step.
+	RaiseStep int
 	// EvictAfter is how long a slowdown must outlast the tightest throttle before a task is evicted.
 	EvictAfter time.Duration
 	// Cooldown is how long after an eviction the next may be.
@@ -32,13 +32,13 @@
 // DefaultPolicy is the policy by which the simulated days of proving/decision were measured.
 func DefaultPolicy() Policy {
 	return Policy{
-		Slack: 0.09, Safe: 0.8, Use: 0.15, Most: 1, Breach: 0.9, LookAhead: 2 * time.Second, Floor: 10, Raise: 20,
+		Slack: 0.09, SafeRatio: 0.8, HeadroomShare: 0.15, MaxSlack: 1, BreachRatio: 0.9, LookAhead: 2 * time.Second, MinThrottle: 10, RaiseStep: 20,
 		EvictAfter: 30 * time.Second, Cooldown: 2 * time.Minute,
 	}
 }
 
-// Full is the throttle, in percent of its processors, of a task that is not throttled.
-const Full = 100
+// Unthrottled is the throttle, in percent of its processors, of a task that is not throttled.
+const Unthrottled = 100
 
 const (
 	tightestBudget = 0.1
@@ -65,8 +65,8 @@
 type Input struct {
 	// Now is the moment of the step.
 	Now time.Time
-	// Ratio is the latency of 99 of 100 requests as a share of the target, of the worst service on the VM.
-	Ratio float64
+	// LatencyRatio is the latency of 99 of 100 requests as a share of the target, of the worst service on the VM.
+	LatencyRatio float64
 	// Slowdown is how much slower requests run than beside no batch task, of the worst service.
 	Slowdown float64
 	// Loads are the batch workloads on the VM.
@@ -89,18 +89,18 @@
 	if percent, ok := s.throttles[workload]; ok {
 		return percent
 	}
-	return Full
+	return Unthrottled
 }
 
-// IsPressed reports whether new batch tasks are kept off the VM.
-func (s *State) IsPressed() bool { return s.pressed }
+// BlocksBatch reports whether new batch tasks are kept off the VM.
+func (s *State) BlocksBatch() bool { return s.pressed }
 
 // SlackAt returns the slowdown that batch tasks may cause to a service at a share of its target, 0 for not known.
 func (p Policy) SlackAt(ratio float64) float64 {
 	if ratio <= 0 {
 		return p.Slack
 	}
-	return min(max(p.Use*(p.Safe/ratio-1), p.Slack), p.Most)
+	return min(max(p.HeadroomShare*(p.SafeRatio/ratio-1), p.Slack), p.MaxSlack)
 }
 
 // Tolerance returns how much more a service at a share of its target bears than the plain slack, 1 for the same.
@@ -114,11 +114,11 @@
 		s.budget = 1
 		s.throttles = make(map[string]int)
 	}
-	p.Slack = p.SlackAt(in.Ratio)
+	p.Slack = p.SlackAt(in.LatencyRatio)
 	ahead := p.ahead(s, in)
 	s.slowdown, s.looked = in.Slowdown, in.Now
 	p.setBudget(s, in, ahead)
-	s.pressed = len(in.Loads) > 0 && (s.budget <= tightestBudget*2 || (in.Ratio >= p.Breach && ahead > p.Slack))
+	s.pressed = len(in.Loads) > 0 && (s.budget <= tightestBudget*2 || (in.LatencyRatio >= p.BreachRatio && ahead > p.Slack))
 	p.setThrottles(s, in.Loads)
 	return p.evicts(s, in)
 }
@@ -137,7 +137,7 @@
 	switch {
 	case len(in.Loads) == 0:
 		s.budget = min(s.budget*budgetRise, 1)
-	case ahead > 2*p.Slack || (in.Ratio >= p.Breach && ahead > p.Slack):
+	case ahead > 2*p.Slack || (in.LatencyRatio >= p.BreachRatio && ahead > p.Slack):
 		s.budget = max(s.budget*budgetCut, tightestBudget)
 	case ahead <= p.Slack:
 		s.budget = min(s.budget*budgetRise, 1)
@@ -156,10 +156,10 @@
 	}
 	next := make(map[string]int, len(ordered))
 	for _, l := range ordered {
-		percent := Full
+		percent := Unthrottled
 		if over > 0 && l.harm > 0 {
-			percent = max(int(Full*(1-over/l.harm)), p.Floor)
-			over -= l.harm * float64(Full-percent) / Full
+			percent = max(int(Unthrottled*(1-over/l.harm)), p.MinThrottle)
+			over -= l.harm * float64(Unthrottled-percent) / Unthrottled
 		}
 		next[l.workload] = p.limitStep(s.Throttle(l.workload), percent)
 	}
@@ -171,9 +171,9 @@
 // limitStep loosens a throttle slowly and leaves it where the change is small.
 func (p Policy) limitStep(before, wanted int) int {
 	if wanted > before {
-		wanted = min(wanted, before+p.Raise)
+		wanted = min(wanted, before+p.RaiseStep)
 	}
-	if wanted != Full && wanted != p.Floor && max(wanted-before, before-wanted) < smallestStep {
+	if wanted != Unthrottled && wanted != p.MinThrottle && max(wanted-before, before-wanted) < smallestStep {
 		return before
 	}
 	return wanted
@@ -181,7 +181,7 @@
 
 // evicts reports whether the slowdown outlasts the tightest throttle.
 func (p Policy) evicts(s *State, in Input) bool {
-	if len(in.Loads) == 0 || in.Ratio < p.Breach || in.Slowdown <= p.Slack || s.budget > tightestBudget {
+	if len(in.Loads) == 0 || in.LatencyRatio < p.BreachRatio || in.Slowdown <= p.Slack || s.budget > tightestBudget {
 		s.breached = time.Time{}
 		return false
 	}
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -3,18 +3,18 @@
 // budgetBurst is how many retries may be sent at once after a quiet time.
 const budgetBurst = 10
 
-// Budget bounds the retries to a share of the requests; the zero value has its first burst to spend.
-type Budget struct {
+// RetryBudget bounds the retries to a share of the requests; the zero value has its first burst to spend.
+type RetryBudget struct {
 	spent float64
 }
 
-// Request takes note of a first try; percent of it may be spent on retries.
-func (b *Budget) Request(percent int) {
+// AddRequest takes note of a first try; percent of it may be spent on retries.
+func (b *RetryBudget) AddRequest(percent int) {
 	b.spent = max(b.spent-float64(percent)/100, 0)
 }
 
 // Spend takes one retry from the budget, or reports that there is none.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	if b.spent+1 > budgetBurst {
 		return false
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestBudget(t *testing.T) {
-	var b Budget
+	var b RetryBudget
 	spent := 0
 	for b.Spend() {
 		spent++
@@ -59,7 +59,7 @@
 	assert.Equal(t, spent, budgetBurst)
 	// Ten requests make one retry; the eleventh makes up for what a tenth is in binary.
 	for range 11 {
-		b.Request(10)
+		b.AddRequest(10)
 	}
 	assert.Assert(t, b.Spend())
 	assert.Assert(t, !b.Spend())
--- a/internal/rpc/peer.go
+++ b/internal/rpc/peer.go
@@ -140,7 +140,7 @@
 	if kind < fault.Internal || kind > fault.Gone {
 		kind = fault.Internal
 	}
-	return fault.New(kind, "%s", remote.Message).After(time.Duration(data.RetryAfterMillis) * time.Millisecond)
+	return fault.New(kind, "%s", remote.Message).WithRetryAfter(time.Duration(data.RetryAfterMillis) * time.Millisecond)
 }
 
 type silent struct{}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -31,7 +31,7 @@
 	m := NewMux(clock)
 	Handle(m, "echo", func(_ context.Context, _ *Peer, s text) (text, error) { return s, nil })
 	Handle(m, "refuse", func(context.Context, *Peer, text) (text, error) {
-		return text{}, fault.New(fault.Overloaded, "later").After(3 * time.Second)
+		return text{}, fault.New(fault.Overloaded, "later").WithRetryAfter(3 * time.Second)
 	})
 	s := Serve(listener, secret, m, ProcessLimits())
 	t.Cleanup(s.Close)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -173,7 +173,7 @@
 		return
 	}
 	s.refusals++
-	full := fault.New(fault.Overloaded, "all %d connections for other processes are taken", s.limits.Peers).After(s.limits.RetryAfter)
+	full := fault.New(fault.Overloaded, "all %d connections for other processes are taken", s.limits.Peers).WithRetryAfter(s.limits.RetryAfter)
 	p := newPeer(stream, s.secret, s.mux, full)
 	go func() {
 		timer := time.AfterFunc(refusalTimeout, p.Close)
--- a/internal/runner/candidates.go
+++ b/internal/runner/candidates.go
@@ -59,7 +59,7 @@
 	r.logger.Info("another incarnation of the worker reports; instance=%s present=%s", report.Incarnation, r.worker.id)
 	r.candidates = append(r.candidates, newWorkerState(report, now))
 	r.doubtIncarnation()
-	wait.Wake(r.nominated)
+	wait.Notify(r.nominated)
 }
 
 // verify asks the worker which incarnation it is whenever another than the present one reports.
@@ -73,7 +73,7 @@
 			}
 			continue
 		}
-		view, refusal, err := r.config.Worker.Hold(ctx, candidate.id, hold)
+		view, refusal, err := r.config.Worker.Renew(ctx, candidate.id, hold)
 		undecided := err != nil && !fault.Is(err, fault.Stale) || err == nil && refusal != host.Accepted
 		if undecided {
 			// A refusal says nothing of the incarnation: another call may have shown a higher fence meanwhile.
@@ -86,13 +86,13 @@
 }
 
 // nextCandidate returns the candidate to ask for, nil where there is none, and a hold that renews and acknowledges nothing.
-func (r *Runner) nextCandidate() (*workerState, host.Hold) {
+func (r *Runner) nextCandidate() (*workerState, host.Renewal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.candidates) == 0 {
-		return nil, host.Hold{}
+		return nil, host.Renewal{}
 	}
-	return r.candidates[0], host.Hold{Fence: r.fences.present}
+	return r.candidates[0], host.Renewal{Fence: r.fences.present}
 }
 
 // decide replaces the present incarnation by a candidate that answered, or drops the candidate. Each is decided by its own answer, so that
@@ -131,8 +131,8 @@
 		r.logger.Info("late start of an earlier incarnation is stopped; task=%s run=%d instance=%s", run.Task, run.Number, next.id)
 		r.end(next, run)
 	}
-	wait.Wake(r.heartbeat)
-	wait.Wake(r.changed)
+	wait.Notify(r.heartbeat)
+	wait.Notify(r.changed)
 }
 
 // recordUnderWay records the starts that are under way on an incarnation that has ended.
@@ -150,7 +150,7 @@
 	if !w.terminated {
 		r.logger.Warn("worker incarnation ended; instance=%s same_id=%t", w.id, sameID)
 		r.recordEnd(w)
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 	}
 	w.terminated, w.silent, w.gone = true, true, w.gone || !sameID
 }
--- a/internal/runner/candidates_test.go
+++ b/internal/runner/candidates_test.go
@@ -92,7 +92,7 @@
 		r := newTest(&fakeWorker{present: testID})
 		held(t, r)
 		time.Sleep(holdWait / 4)
-		assert.NilError(t, r.adopt(nil, record.Lead{Epoch: 4}))
+		assert.NilError(t, r.adopt(nil, record.Leader{Epoch: 4}))
 		assert.Assert(t, r.fences.grant(4, 0, 0))
 		report, _ := r.compose()
 		assert.Assert(t, !report.Fenced)
@@ -106,8 +106,8 @@
 func TestViewThatWasOvertakenIsLeft(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	newer := host.View{Clock: host.Clock(2 * time.Second), Running: []host.Running{{Run: testRun(2)}}}
-	r.held(t.Context(), testID, host.Hold{}, newer)
-	r.held(t.Context(), testID, host.Hold{}, host.View{Clock: host.Clock(time.Second), Running: []host.Running{{Run: testRun(1)}}})
+	r.held(t.Context(), testID, host.Renewal{}, newer)
+	r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Second), Running: []host.Running{{Run: testRun(1)}}})
 	report, _ := r.compose()
 	assert.Equal(t, len(report.Running), 1)
 	assert.Equal(t, report.Running[0].Number, 2)
@@ -159,9 +159,9 @@
 	r.worker = newWorkerState(host.Report{Incarnation: testID, Service: "other", Sequence: 4000, Draining: true}, time.Now())
 	own := host.Report{Incarnation: testID, Service: "s", Sequence: 2, Capacity: job.Size{CPU: 8000, Memory: 16000}}
 	assert.Assert(t, !r.Reported(own), "either may be true")
-	r.worker.learn(link.Report{Service: "s"}, link.ReportAnswer{Foreign: true})
+	r.worker.learn(link.Report{Service: "s"}, link.ReportAnswer{UnknownService: true})
 	assert.Assert(t, !r.Reported(own), "the lead spoke of another report")
-	r.worker.learn(link.Report{Service: "other"}, link.ReportAnswer{Foreign: true})
+	r.worker.learn(link.Report{Service: "other"}, link.ReportAnswer{UnknownService: true})
 	assert.Assert(t, r.Reported(own))
 	assert.DeepEqual(t, r.worker.report, own, sameIncarnation)
 	assert.Assert(t, !r.Reported(host.Report{Incarnation: testID, Service: "other", Sequence: 4001}))
--- a/internal/runner/room.go
+++ b/internal/runner/capacity.go
@@ -8,8 +8,8 @@
 
 // roomOf returns what a run takes of its worker's room.
 func roomOf(p link.Profile) job.Size {
-	step := job.Step{Size: job.Size{CPU: p.CPU, Memory: p.Memory, GPU: p.GPU}, Fills: p.Fills}
-	return step.Room()
+	step := job.Step{Size: job.Size{CPU: p.CPU, Memory: p.Memory, GPU: p.GPU}, BestEffort: p.BestEffort}
+	return step.Reservation()
 }
 
 // taken returns the room of all that the worker may have: what runs, what is being stopped, and what is on its way there.
--- a/internal/runner/room_test.go
+++ b/internal/runner/capacity_test.go
@@ -18,7 +18,7 @@
 		id := testTask
 		id.Index = n
 		orders.Starts = append(orders.Starts, link.Start{Profile: link.Profile{
-			Run: link.NewRun(id, 1), CPU: size.CPU, Memory: size.Memory, GPU: size.GPU, Fills: fills,
+			Run: link.NewRun(id, 1), CPU: size.CPU, Memory: size.Memory, GPU: size.GPU, BestEffort: fills,
 		}})
 	}
 	return orders
@@ -54,7 +54,7 @@
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 2)
-		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{2: host.RefusedRoom})
+		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{2: host.RefusedCapacity})
 	})
 }
 
@@ -68,11 +68,11 @@
 		assert.NilError(t, err)
 		synctest.Wait()
 		first := host.Run{Task: testTask, Number: 1}
-		r.held(t.Context(), testID, host.Hold{}, host.View{Clock: 1, Running: []host.Running{{Run: first}}})
+		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: first}}})
 		_, err = r.takeOrders(t.Context(), nil, asking(size, false, 1))
 		assert.NilError(t, err)
-		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{1: host.RefusedRoom})
-		r.held(t.Context(), testID, host.Hold{}, host.View{Clock: 2, Ended: []host.Ended{{Run: first, Number: 1}}})
+		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{1: host.RefusedCapacity})
+		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 2, Ended: []host.EndedRun{{Run: first, Sequence: 1}}})
 		_, err = r.takeOrders(t.Context(), nil, asking(size, false, 2))
 		assert.NilError(t, err)
 		synctest.Wait()
@@ -90,7 +90,7 @@
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 2)
-		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{2: host.RefusedRoom})
+		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{2: host.RefusedCapacity})
 	})
 }
 
--- a/internal/runner/crashes.go
+++ b/internal/runner/crashes.go
@@ -14,7 +14,7 @@
 		return
 	}
 	w.reported = true
-	told := link.Crash{Instance: w.id.Worker(), Born: w.id.Born(), Planned: w.left || w.report.Draining}
+	told := link.Crash{Instance: w.id.Worker(), StartMillis: w.id.StartMillis(), Planned: w.left || w.report.Draining}
 	if !told.Planned {
 		told.Runs = r.crashedUnder(w)
 	}
@@ -72,7 +72,7 @@
 func (c *crashes) tell() []link.Crash {
 	var told []link.Crash
 	for _, u := range c.untold {
-		u.crash.BrokenMillis = brokenMillis(u.broken)
+		u.crash.FirstFailureMillis = brokenMillis(u.broken)
 		told = append(told, u.crash)
 	}
 	return told
--- a/internal/runner/sight.go
+++ b/internal/runner/diagnostics.go
@@ -22,7 +22,7 @@
 func (r *Runner) checkAcknowledged(id incarnation.ID, seen uint64, view host.View) {
 	latest := uint64(0)
 	for _, e := range view.Ended {
-		latest = max(latest, e.Number)
+		latest = max(latest, e.Sequence)
 	}
 	if latest > 0 && latest <= seen {
 		r.config.Metrics.Counter("agent.acknowledged_beyond").Inc(1)
@@ -32,11 +32,11 @@
 
 // logFirstAnswer logs how long after its birth an incarnation first answered. Until then it may carry out what was sent to one before under its id.
 func (r *Runner) logFirstAnswer(id incarnation.ID) {
-	if id.Born() == 0 {
+	if id.StartMillis() == 0 {
 		return
 	}
 	// Both are of one VM, and so of one time of day.
-	age := time.Now().UnixMilli() - id.Born()
+	age := time.Now().UnixMilli() - id.StartMillis()
 	r.config.Metrics.Histogram("agent.first_answer_ms").Update(age)
 	r.logger.Info("worker incarnation answers first; instance=%s age_ms=%d", id, age)
 }
--- a/internal/runner/search.go
+++ b/internal/runner/discovery.go
@@ -28,7 +28,7 @@
 
 // found is a leader and how many agents it has, 0 where that is not known.
 type found struct {
-	record.Lead
+	record.Leader
 	agents int
 }
 
@@ -62,7 +62,7 @@
 			return err
 		}
 		if answer.Epoch > latest.Epoch {
-			latest.Lead = record.Lead{Node: answer.Node, Address: answer.Address, Epoch: answer.Epoch}
+			latest.Leader = record.Leader{Process: answer.Node, Address: answer.Address, Epoch: answer.Epoch}
 			latest.agents = answer.Agents
 		}
 		if answer.Epoch <= question.After {
@@ -81,15 +81,15 @@
 func (r *Runner) askStore(ctx context.Context) (found, error) {
 	bounded, cancel := context.WithTimeout(ctx, lookPatience)
 	defer cancel()
-	item, err := r.config.Store.Get(bounded, record.LeadKey)
+	item, err := r.config.Store.Get(bounded, record.LeaderKey)
 	if err != nil {
 		return found{}, err
 	}
 	if item.Revision() == 0 {
 		return found{}, fault.New(fault.Unavailable, "nobody leads")
 	}
-	lead, err := record.DecodeLead(item.Value())
-	return found{Lead: lead}, err
+	lead, err := record.DecodeLeader(item.Value())
+	return found{Leader: lead}, err
 }
 
 const (
@@ -121,5 +121,5 @@
 		return 0
 	}
 	ends := r.worker != nil && len(r.worker.view.Ended) > 0
-	return returnDelay(leader.agents, r.permitted.Sub(r.config.Uptime.Now()), ends, r.config.Draw())
+	return returnDelay(leader.agents, r.permitted.Sub(r.config.Uptime.Now()), ends, r.config.Random())
 }
--- a/internal/runner/search_test.go
+++ b/internal/runner/discovery_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestFullLeaderPushesItsAgentsBack(t *testing.T) {
-	full := fault.New(fault.Overloaded, "all connections are taken").After(3 * time.Second)
+	full := fault.New(fault.Overloaded, "all connections are taken").WithRetryAfter(3 * time.Second)
 	assert.Equal(t, pushedBack(full), 3*time.Second)
 	assert.Equal(t, pushedBack(fault.New(fault.Unavailable, "no answer")), time.Duration(0))
 }
--- a/internal/runner/fakes_test.go
+++ b/internal/runner/fakes_test.go
@@ -49,21 +49,21 @@
 	return host.Accepted, nil
 }
 
-func (f *fakeWorker) Limit(int) {}
+func (f *fakeWorker) LimitConnections(int) {}
 
-func (f *fakeWorker) Hold(ctx context.Context, id incarnation.ID, h host.Hold) (host.View, host.Refusal, error) {
+func (f *fakeWorker) Renew(ctx context.Context, id incarnation.ID, h host.Renewal) (host.View, host.Refusal, error) {
 	f.mu.Lock()
 	present, away := f.present, f.away
 	f.mu.Unlock()
 	if away {
-		return host.View{}, host.RefusedWrong, fault.New(fault.Unavailable, "connection refused")
+		return host.View{}, host.RefusedInvalid, fault.New(fault.Unavailable, "connection refused")
 	}
 	if present.IsZero() {
 		present = id
 	}
 	if !id.IsZero() && !present.SameWorker(id) {
 		wait.For(ctx, f.slow)
-		return host.View{}, host.RefusedWrong, fault.New(fault.Stale, "another instance answers")
+		return host.View{}, host.RefusedInvalid, fault.New(fault.Stale, "another instance answers")
 	}
 	f.mu.Lock()
 	if f.seen == nil {
@@ -80,7 +80,7 @@
 		return host.View{}, host.RefusedFence, nil
 	}
 	f.fences[present] = h.Fence
-	f.seen[present] = max(f.seen[present], h.Seen)
+	f.seen[present] = max(f.seen[present], h.Acknowledged)
 	f.mu.Unlock()
 	wait.For(ctx, h.Wait)
 	f.mu.Lock()
--- a/internal/runner/fences.go
+++ b/internal/runner/fences.go
@@ -105,7 +105,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, contactPatience)
 	defer cancel()
-	_, refusal, err := r.config.Worker.Hold(bounded, incarnation.ID{}, host.Hold{Fence: fence})
+	_, refusal, err := r.config.Worker.Renew(bounded, incarnation.ID{}, host.Renewal{Fence: fence})
 	if err != nil || refusal != host.Accepted {
 		r.logger.Debug("fence not shown; fence=%d refusal=%s reason=%v", fence, refusal, err)
 		return
@@ -123,7 +123,7 @@
 func (r *Runner) contactWait() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.fences.reached && time.Since(r.fences.missing) < host.LateFor {
+	if !r.fences.reached && time.Since(r.fences.missing) < host.MaxCallDelay {
 		return contactPause
 	}
 	return holdPause
--- a/internal/runner/fences_test.go
+++ b/internal/runner/fences_test.go
@@ -91,7 +91,7 @@
 
 // TestWorkerThatIsBackIsCalledSoon, and one that stays away seldom: nothing that was sent may be carried out by then.
 func TestWorkerThatIsBackIsCalledSoon(t *testing.T) {
-	for away, within := range map[time.Duration]time.Duration{255 * time.Millisecond: 2 * contactPause, host.LateFor + 255*time.Millisecond: holdPause} {
+	for away, within := range map[time.Duration]time.Duration{255 * time.Millisecond: 2 * contactPause, host.MaxCallDelay + 255*time.Millisecond: holdPause} {
 		synctest.Test(t, func(t *testing.T) {
 			worker := &fakeWorker{present: testID, away: true}
 			r := newTest(worker)
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -55,8 +55,8 @@
 }
 
 // hold renews the lease once, and reports whether ends wait to be committed.
-func (r *Runner) hold(ctx context.Context, id incarnation.ID, hold host.Hold) (bool, error) {
-	view, refusal, err := r.config.Worker.Hold(ctx, id, hold)
+func (r *Runner) hold(ctx context.Context, id incarnation.ID, hold host.Renewal) (bool, error) {
+	view, refusal, err := r.config.Worker.Renew(ctx, id, hold)
 	switch {
 	case err != nil:
 		return false, err
@@ -108,16 +108,16 @@
 }
 
 // nextHold returns the hold to send, false while the worker is not known.
-func (r *Runner) nextHold() (incarnation.ID, host.Hold, bool) {
+func (r *Runner) nextHold() (incarnation.ID, host.Renewal, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.worker
 	if w == nil {
-		return incarnation.ID{}, host.Hold{}, false
+		return incarnation.ID{}, host.Renewal{}, false
 	}
 	r.quit(w)
-	hold := host.Hold{Fence: r.fences.present, Seen: r.acknowledged(w), Until: r.until(w), Wait: holdWait}
-	if hold.Seen > 0 {
+	hold := host.Renewal{Fence: r.fences.present, Acknowledged: r.acknowledged(w), Until: r.until(w), Wait: holdWait}
+	if hold.Acknowledged > 0 {
 		r.fences.use()
 	}
 	if w.fenced < r.fences.present || w.stopWaits() {
@@ -135,7 +135,7 @@
 	if w.proved.IsZero() || r.config.Uptime.Now().Sub(w.proved) > provedFor {
 		return 0
 	}
-	listed := slices.ContainsFunc(w.view.Ended, func(e host.Ended) bool { return e.Number <= w.seen })
+	listed := slices.ContainsFunc(w.view.Ended, func(e host.EndedRun) bool { return e.Sequence <= w.seen })
 	if !listed {
 		return 0
 	}
@@ -206,12 +206,12 @@
 	if !w.silent && time.Since(w.answered) > silentAfter {
 		w.silent = true
 		r.logger.Warn("worker does not answer; instance=%s reason=%v", id, err)
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 	}
 }
 
 // held stores a view and reports whether ends wait to be committed.
-func (r *Runner) held(ctx context.Context, id incarnation.ID, hold host.Hold, view host.View) bool {
+func (r *Runner) held(ctx context.Context, id incarnation.ID, hold host.Renewal, view host.View) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.worker
@@ -223,7 +223,7 @@
 		r.logOvertaken("answer", id, time.Duration(view.Clock).Milliseconds(), time.Duration(w.clock).Milliseconds())
 		return false
 	}
-	r.checkAcknowledged(id, hold.Seen, view)
+	r.checkAcknowledged(id, hold.Acknowledged, view)
 	now := time.Now()
 	if w.terminated {
 		// Orders were no longer carried out; the leader gives them again.
@@ -243,6 +243,6 @@
 	w.forgetStopped()
 	w.prune()
 	r.adjust(ctx, w)
-	wait.Wake(r.changed)
+	wait.Notify(r.changed)
 	return len(view.Ended) > 0
 }
--- a/internal/runner/incarnation_test.go
+++ b/internal/runner/incarnation_test.go
@@ -31,7 +31,7 @@
 	worker.present = firstBirth
 	worker.view = host.View{
 		Clock:   host.Clock(time.Hour),
-		Running: []host.Running{{Run: testRun(3)}}, Ended: []host.Ended{{Number: 57, Run: testRun(2), End: job.EndDone}},
+		Running: []host.Running{{Run: testRun(3)}}, Ended: []host.EndedRun{{Sequence: 57, Run: testRun(2), End: job.EndDone}},
 	}
 	r := newTest(worker)
 	r.worker = newWorkerState(reportFrom(firstBirth, 4000), time.Now())
@@ -59,7 +59,7 @@
 		r.Reported(draining)
 		before, state := r.compose()
 		assert.Equal(t, len(before.Running), 1)
-		state.learn(before, link.ReportAnswer{Seen: 57})
+		state.learn(before, link.ReportAnswer{AcknowledgedEnds: 57})
 		startAgain(r, worker)
 		report, _ := r.compose()
 		assert.Equal(t, report.Incarnation(), secondBirth)
@@ -77,17 +77,17 @@
 		worker := &fakeWorker{}
 		r := bornTest(t, worker)
 		report, state := r.compose()
-		state.learn(report, link.ReportAnswer{Seen: 57})
+		state.learn(report, link.ReportAnswer{AcknowledgedEnds: 57})
 		time.Sleep(time.Second)
 		assert.Equal(t, worker.acknowledged(firstBirth), uint64(57))
 		startAgain(r, worker)
 		assert.Equal(t, worker.acknowledged(secondBirth), uint64(0))
-		worker.show(host.View{Clock: host.Clock(time.Second), Ended: []host.Ended{{Number: 1, Run: testRun(4), End: job.EndDone}}})
+		worker.show(host.View{Clock: host.Clock(time.Second), Ended: []host.EndedRun{{Sequence: 1, Run: testRun(4), End: job.EndDone}}})
 		time.Sleep(time.Second)
 		assert.Equal(t, worker.acknowledged(secondBirth), uint64(0), "nobody has committed it")
 		report, state = r.compose()
 		assert.Equal(t, len(report.Ended), 1)
-		state.learn(report, link.ReportAnswer{Seen: 1})
+		state.learn(report, link.ReportAnswer{AcknowledgedEnds: 1})
 		time.Sleep(time.Second)
 		assert.Equal(t, worker.acknowledged(secondBirth), uint64(1))
 	})
@@ -103,9 +103,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := newTest(&fakeWorker{})
 				r.worker = newWorkerState(reportFrom(firstBirth, 1), time.Now())
-				view := host.View{Incarnation: firstBirth, Ended: []host.Ended{{Number: 7, Run: testRun(1)}}}
+				view := host.View{Incarnation: firstBirth, Ended: []host.EndedRun{{Sequence: 7, Run: testRun(1)}}}
 				time.Sleep(time.Second)
-				r.held(t.Context(), firstBirth, host.Hold{}, view)
+				r.held(t.Context(), firstBirth, host.Renewal{}, view)
 				r.worker.seen = 7
 				assert.Equal(t, r.acknowledged(r.worker), uint64(7))
 				lose(r)
@@ -121,14 +121,14 @@
 		worker := &fakeWorker{start: noAnswer}
 		r := bornTest(t, worker)
 		orders := startOrders()
-		orders.Born = firstBirth.Born()
+		orders.StartMillis = firstBirth.StartMillis()
 		_, err := r.takeOrders(t.Context(), nil, orders)
 		assert.NilError(t, err)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, len(worker.stopped()), 1, "it is taken back where it was sent")
 		startAgain(r, worker)
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1), testRun(1)})
-		time.Sleep(host.LateFor)
+		time.Sleep(host.MaxCallDelay)
 		worker.restart(firstBirth)
 		r.Reported(reportFrom(incarnation.New("i-1", 7), 1))
 		time.Sleep(time.Second)
@@ -144,7 +144,7 @@
 		worker.restart(secondBirth)
 		time.Sleep(time.Second)
 		orders := startOrders()
-		orders.Born = firstBirth.Born()
+		orders.StartMillis = firstBirth.StartMillis()
 		_, err := r.takeOrders(t.Context(), nil, orders)
 		assert.NilError(t, err, "the leader is not at fault")
 		time.Sleep(time.Second)
@@ -152,7 +152,7 @@
 		startAgain(r, worker)
 		_, err = r.takeOrders(t.Context(), nil, orders)
 		assert.ErrorContains(t, err, "has ended")
-		orders.Born = 0
+		orders.StartMillis = 0
 		r.permitted, r.hall.told = r.config.Uptime.Now().Add(5*time.Second), r.config.Uptime.Now()
 		_, err = r.takeOrders(t.Context(), nil, orders)
 		assert.NilError(t, err, "a leader of the release before leaves the birth out")
@@ -203,7 +203,7 @@
 		worker.restart(secondBirth)
 		worker.show(host.View{Clock: host.Clock(time.Millisecond), Running: []host.Running{{Run: testRun(1)}}})
 		orders := startOrders()
-		orders.Born = firstBirth.Born()
+		orders.StartMillis = firstBirth.StartMillis()
 		_, err := r.takeOrders(t.Context(), nil, orders)
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
@@ -236,7 +236,7 @@
 		r := bornTest(t, worker)
 		defer r.abandon()
 		orders := startOrders()
-		orders.Born = firstBirth.Born()
+		orders.StartMillis = firstBirth.StartMillis()
 		_, err := r.takeOrders(t.Context(), nil, orders)
 		assert.NilError(t, err)
 		r.recordLate(firstBirth, testRun(4), time.Now())
@@ -264,12 +264,12 @@
 		r := bornTest(t, worker)
 		defer r.abandon()
 		orders := startOrders()
-		orders.Born = firstBirth.Born()
+		orders.StartMillis = firstBirth.StartMillis()
 		_, err := r.takeOrders(t.Context(), nil, orders)
 		assert.NilError(t, err)
 		synctest.Wait()
 		worker.restart(secondBirth)
-		_, err = r.takeOrders(t.Context(), nil, link.Orders{Epoch: 3, Instance: "i-1", Born: firstBirth.Born(), Stops: []link.Run{wireRun(testRun(1))}})
+		_, err = r.takeOrders(t.Context(), nil, link.Orders{Epoch: 3, Instance: "i-1", StartMillis: firstBirth.StartMillis(), Stops: []link.Run{wireRun(testRun(1))}})
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
 		assert.Equal(t, len(worker.stopped()), 1)
--- a/internal/runner/late.go
+++ b/internal/runner/late.go
@@ -27,10 +27,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	recorded, late := r.late[lateStart{worker: w.id.Worker(), run: run}]
-	if !late || !r.returns || w.profiles[run].Lasting {
+	if !late || !r.returns || w.profiles[run].LongRunning {
 		return 0
 	}
-	return time.Until(recorded.Add(host.LateFor))
+	return time.Until(recorded.Add(host.MaxCallDelay))
 }
 
 // lateRuns returns the runs that an incarnation may still be given by late starts, in order.
--- a/internal/runner/late_test.go
+++ b/internal/runner/late_test.go
@@ -33,10 +33,10 @@
 				r := bornTest(t, worker)
 				defer r.abandon()
 				orders := startOrders()
-				orders.Born, orders.Starts[0].Lasting = firstBirth.Born(), c.lasting
+				orders.StartMillis, orders.Starts[0].LongRunning = firstBirth.StartMillis(), c.lasting
 				if c.returned {
 					startAgain(r, worker)
-					orders.Born = secondBirth.Born()
+					orders.StartMillis = secondBirth.StartMillis()
 					r.permitted, r.hall.told = r.config.Uptime.Now().Add(time.Minute), r.config.Uptime.Now()
 				}
 				_, err := r.takeOrders(t.Context(), nil, orders)
@@ -46,7 +46,7 @@
 				report, _ := r.compose()
 				assert.Equal(t, len(report.Pending) == 1, c.held, "%v", report.Pending)
 				assert.Equal(t, len(report.Rejected) == 0, c.held, "%v", report.Rejected)
-				time.Sleep(host.LateFor)
+				time.Sleep(host.MaxCallDelay)
 				report, _ = r.compose()
 				assert.Equal(t, len(report.Pending), 0)
 				assert.DeepEqual(t, report.Rejected, []link.Rejected{{Run: wireRun(testRun(1)), Refusal: int(host.RefusedOld)}})
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -32,7 +32,7 @@
 		return link.Empty{}, fault.New(fault.Stale, "the agent follows epoch %d", r.epoch)
 	}
 	w := r.worker
-	if meant := orders.Incarnation(); w == nil || !w.id.MayBe(meant) {
+	if meant := orders.Incarnation(); w == nil || !w.id.MayEqual(meant) {
 		return link.Empty{}, fault.New(fault.Stale, "incarnation %s of the worker has ended", meant)
 	}
 	if w.terminated {
@@ -75,7 +75,7 @@
 	w.orders[run] = o
 	if refusal != host.Accepted {
 		o.refuse(w, run, refusal)
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 		return
 	}
 	r.work.Go(func() { r.start(ctx, w, run, o) })
@@ -86,13 +86,13 @@
 	switch {
 	case w.report.Draining:
 		return host.RefusedBusy
-	case start.Fills && w.overFor(pacing.LongOver):
+	case start.BestEffort && w.overFor(pacing.ViolationGrace):
 		r.logger.Info("start refused beside a task that is over its target; task=%s run=%d", run.Task, run.Number)
 		return host.RefusedBusy
 	case !w.fits(run, start):
 		r.logger.Info("start refused for want of room; task=%s run=%d taken=%v capacity=%v",
 			run.Task, run.Number, w.taken(), w.report.Capacity)
-		return host.RefusedRoom
+		return host.RefusedCapacity
 	}
 	return host.Accepted
 }
@@ -132,7 +132,7 @@
 		refusal, err := r.startWithin(ctx, patience, w.id, host.Start{
 			Run: run, Text: o.text, Until: until, Fence: fence, Checkpoint: o.start.Checkpoint, Ticket: o.start.Ticket,
 		})
-		patience = r.patience.Longer(patience)
+		patience = r.patience.Extend(patience)
 		if err == nil && !r.outdated(fence, refusal) && r.started(w, run, o, refusal, doubtful) {
 			return
 		}
@@ -155,7 +155,7 @@
 	asked := time.Now()
 	refusal, err := r.config.Worker.Start(bounded, id, start)
 	if err == nil {
-		r.patience.Answered(time.Since(asked))
+		r.patience.Observe(time.Since(asked))
 	}
 	return refusal, err
 }
@@ -193,7 +193,7 @@
 	}
 	if !doubtful {
 		o.refuse(w, run, host.RefusedBusy)
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 		return
 	}
 	r.logger.Warn("start without an answer is taken back; task=%s run=%d", run.Task, run.Number)
@@ -220,7 +220,7 @@
 	}
 	r.logger.Info("start refused; task=%s run=%d refusal=%s", run.Task, run.Number, refusal)
 	o.refuse(w, run, refusal)
-	wait.Wake(r.changed)
+	wait.Notify(r.changed)
 	return true
 }
 
@@ -255,7 +255,7 @@
 		return
 	}
 	o.refuse(w, run, host.RefusedOld)
-	wait.Wake(r.changed)
+	wait.Notify(r.changed)
 }
 
 // parseRun reads the name of a run, false where it names no task.
--- a/internal/runner/paces.go
+++ b/internal/runner/paces.go
@@ -18,7 +18,7 @@
 	adjustEvery = 400 * time.Millisecond
 	// longerOver is how long a serving task may be over its target before all that fills must give way, a second after what is
 	// known to slow it must.
-	longerOver = pacing.LongOver + time.Second
+	longerOver = pacing.ViolationGrace + time.Second
 	// aheadOf is how far ahead a pace looks: until the next figures show its effect.
 	aheadOf = 500 * time.Millisecond
 	// loadFor is how long what the lead told of a load is used: some reports that went unanswered.
@@ -34,12 +34,12 @@
 		filling, use := w.filling()
 		felt := pressure.Mean(w.used, use)
 		w.used = use
-		w.wanted = pacing.Reckon(w.served(now, felt, filling), filling, w.starved)
+		w.wanted = pacing.Choose(w.served(now, felt, filling), filling, w.starved)
 	}
 	for _, running := range w.view.Running {
 		p, known := w.profiles[running.Run]
 		pace, wanted := w.wantedPace(p.Image)
-		if !known || !p.Fills || !wanted || w.paceOf(running.Run) == pace {
+		if !known || !p.BestEffort || !wanted || w.paceOf(running.Run) == pace {
 			continue
 		}
 		w.paces[running.Run] = pace
@@ -52,7 +52,7 @@
 // stands has to stand too.
 func (w *workerState) wantedPace(image string) (int, bool) {
 	if w.overFor(longerOver) {
-		return pacing.Least, true
+		return pacing.Min, true
 	}
 	pace, wanted := w.wanted[image]
 	return pace, wanted
@@ -69,19 +69,19 @@
 }
 
 // filling returns the images of what fills the worker, and the share of the worker that each uses.
-func (w *workerState) filling() ([]pacing.Filling, map[string]float64) {
+func (w *workerState) filling() ([]pacing.BestEffort, map[string]float64) {
 	whole, use := make(map[string]float64), make(map[string]float64)
 	for _, running := range w.view.Running {
 		p := w.profiles[running.Run]
-		if !p.Fills {
+		if !p.BestEffort {
 			continue
 		}
-		use[p.Image] += w.share(running.Figure)
+		use[p.Image] += w.share(running.Measurement)
 		whole[p.Image] += w.share(p.CPU)
 	}
-	filling := make([]pacing.Filling, 0, len(whole))
+	filling := make([]pacing.BestEffort, 0, len(whole))
 	for _, image := range slices.Sorted(maps.Keys(whole)) {
-		filling = append(filling, pacing.Filling{Image: image, Whole: whole[image]})
+		filling = append(filling, pacing.BestEffort{Image: image, FullShare: whole[image]})
 	}
 	return filling, use
 }
@@ -90,15 +90,15 @@
 func (w *workerState) share(cpu int) float64 { return float64(cpu) / float64(w.report.Capacity.CPU) }
 
 // served returns what the tasks that serve will likely show, after what they show beside what was used.
-func (w *workerState) served(now time.Time, felt map[string]float64, filling []pacing.Filling) []pacing.Served {
-	var served []pacing.Served
+func (w *workerState) served(now time.Time, felt map[string]float64, filling []pacing.BestEffort) []pacing.ServingTask {
+	var served []pacing.ServingTask
 	for _, running := range w.view.Running {
 		p := w.profiles[running.Run]
-		if p.TargetMillis == 0 || running.Figure == 0 {
+		if p.TargetMillis == 0 || running.Measurement == 0 {
 			continue
 		}
 		over := w.noteOver(running)
-		s := pacing.Served{Weights: make(map[string]float64), Long: over > pacing.LongOver, Longer: over > longerOver}
+		s := pacing.ServingTask{Weights: make(map[string]float64), SustainedViolation: over > pacing.ViolationGrace, ProlongedViolation: over > longerOver}
 		s.Headroom, s.Deviation = w.ahead(now, running, p, felt)
 		for _, f := range filling {
 			s.Weights[f.Image] = w.weight(p.Image, f.Image)
@@ -112,25 +112,25 @@
 // that the lead tells, where it did so of late, and else from the task's own track.
 func (w *workerState) ahead(now time.Time, running host.Running, p link.Profile, felt map[string]float64) (float64, float64) {
 	soon := now.Add(aheadOf)
-	headroom, deviation := w.follow(now, running, p, felt).Ahead(soon)
+	headroom, deviation := w.follow(now, running, p, felt).Predict(soon)
 	load, known := w.loads[running.Run.Task.StepName()]
-	if !known || now.Sub(load.Seen) > loadFor {
+	if !known || now.Sub(load.Time) > loadFor {
 		return headroom, deviation
 	}
 	own := entryOf(w.owns, running.Run)
-	shown := pressure.Headroom(float64(running.Figure), float64(p.TargetMillis))
-	own.Observe(now, shown-max(load.Ahead(now, w.swing)-w.pressed(p.Image, felt), 0))
-	return load.Ahead(soon, w.swing) + own.Ahead(soon), load.Deviation
+	shown := pressure.Headroom(float64(running.Measurement), float64(p.TargetMillis))
+	own.Observe(now, shown-max(load.Predict(now, w.swing)-w.pressed(p.Image, felt), 0))
+	return load.Predict(soon, w.swing) + own.Predict(soon), load.Deviation
 }
 
 // follow takes the headroom that a serving task shows into its track, as it would be without what was used beside it.
-func (w *workerState) follow(now time.Time, running host.Running, p link.Profile, felt map[string]float64) *pressure.Track {
+func (w *workerState) follow(now time.Time, running host.Running, p link.Profile, felt map[string]float64) *pressure.Tracker {
 	track := entryOf(w.tracks, running.Run)
-	track.Follow(w.swing)
+	track.SetFrequency(w.swing)
 	target := float64(p.TargetMillis)
-	headroom := pressure.Headroom(float64(running.Figure), target)
-	if headroom >= sureOf || !track.Seen() {
-		track.Observe(now, headroom+w.pressed(p.Image, felt), pressure.Blur(headroom, target))
+	headroom := pressure.Headroom(float64(running.Measurement), target)
+	if headroom >= sureOf || !track.HasObservation() {
+		track.Observe(now, headroom+w.pressed(p.Image, felt), pressure.MeasurementVariance(headroom, target))
 	}
 	return track
 }
@@ -157,7 +157,7 @@
 // noteOver returns for how long a serving task has been over its target. One that is found over, as an agent that was
 // started again finds it, is taken to have been over for long: nobody knows how long it was before.
 func (w *workerState) noteOver(running host.Running) time.Duration {
-	if int64(running.Figure) <= w.profiles[running.Run].TargetMillis {
+	if int64(running.Measurement) <= w.profiles[running.Run].TargetMillis {
 		delete(w.over, running.Run)
 		return 0
 	}
@@ -165,7 +165,7 @@
 	if !known {
 		since = w.read
 		if w.views == 1 {
-			since = w.read.Add(-pacing.LongOver)
+			since = w.read.Add(-pacing.ViolationGrace)
 		}
 		w.over[running.Run] = since
 	}
--- a/internal/runner/begun.go
+++ b/internal/runner/possible.go
@@ -26,8 +26,8 @@
 // ageAt returns for how long the worker had the run when its calls broke off, where that is known.
 func (b *begun) ageAt(broken time.Time) time.Duration { return max(b.age(), broken.Sub(b.asked)) }
 
-// begunRuns are the runs that one incarnation of the worker may have.
-type begunRuns map[host.Run]*begun
+// possible are the runs that one incarnation of the worker may have.
+type possible map[host.Run]*begun
 
 // listed reports whether the incarnation has listed the run after the latest start for it was answered.
 func (b *begun) listed() bool { return b.views >= viewsToShow }
@@ -36,13 +36,13 @@
 const viewsToShow = 2
 
 // fresh reports whether a run has not outlived its start as far as was seen.
-func (b begunRuns) fresh(run host.Run) bool { return b[run] != nil && b[run].age() < crash.Soon }
+func (b possible) fresh(run host.Run) bool { return b[run] != nil && b[run].age() < crash.StartupTime }
 
 // ask records that a start is about to be sent.
-func (b begunRuns) ask(run host.Run) { b.entry(run).views = 0 }
+func (b possible) ask(run host.Run) { b.entry(run).views = 0 }
 
 // entry returns what is known of a run, with an entry of one that is new.
-func (b begunRuns) entry(run host.Run) *begun {
+func (b possible) entry(run host.Run) *begun {
 	if b[run] == nil {
 		b[run] = &begun{asked: time.Now()}
 	}
@@ -50,7 +50,7 @@
 }
 
 // answer takes note that the worker accepted a start.
-func (b begunRuns) answer(run host.Run) {
+func (b possible) answer(run host.Run) {
 	if known := b[run]; known != nil {
 		known.answered = true
 	}
@@ -58,7 +58,7 @@
 
 // show takes note of what the worker lists. What it does not list once a start for it no longer counts is not there: a start that was
 // given up with the lead that ordered it would take room for ever.
-func (b begunRuns) show(view host.View, now time.Time) {
+func (b possible) show(view host.View, now time.Time) {
 	for _, running := range view.Running {
 		known := b.entry(running.Run)
 		known.answered, known.shown = true, now
@@ -76,7 +76,7 @@
 
 // drop takes note that a start did not reach the worker, or was refused. What an earlier start of the run was answered stands:
 // a lead orders a run again that it does not see, also one under which the worker has just crashed.
-func (b begunRuns) drop(run host.Run) {
+func (b possible) drop(run host.Run) {
 	if known := b[run]; known != nil && !known.answered {
 		delete(b, run)
 	}
@@ -96,7 +96,7 @@
 
 // left returns the runs that the incarnation may have had when it ended: those that it had, and those that were asked for no longer ago
 // than a start counts.
-func (b begunRuns) left(now time.Time) []host.Run {
+func (b possible) left(now time.Time) []host.Run {
 	var runs []host.Run
 	for run, known := range b {
 		if known.answered || now.Sub(known.asked) < holdTime {
--- a/internal/runner/begun_test.go
+++ b/internal/runner/possible_test.go
@@ -19,7 +19,7 @@
 // not list once a start for it no longer counts.
 func TestRunsThatALifeMayHaveHad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runs := make(begunRuns)
+		runs := make(possible)
 		for number := range 4 {
 			runs.ask(testRun(number))
 		}
@@ -27,7 +27,7 @@
 		time.Sleep(time.Second)
 		runs.ask(testRun(4))
 		runs.show(host.View{
-			Running: []host.Running{{Run: testRun(2)}, {Run: testRun(7)}}, Ended: []host.Ended{{Run: testRun(3)}},
+			Running: []host.Running{{Run: testRun(2)}, {Run: testRun(7)}}, Ended: []host.EndedRun{{Run: testRun(3)}},
 		}, time.Now())
 		assert.Equal(t, len(runs.left(time.Now())), 5, "all but run 3, which has ended: %v", runs.left(time.Now()))
 		assert.Equal(t, runs[testRun(1)].age(), time.Duration(0), "it was never listed")
@@ -46,7 +46,7 @@
 }
 
 // numbers returns the numbers of the runs that a life may have had, in order.
-func numbers(runs begunRuns) []int {
+func numbers(runs possible) []int {
 	var found []int
 	for _, run := range runs.left(time.Now()) {
 		found = append(found, run.Number)
@@ -59,7 +59,7 @@
 func TestStartThatWasNotSentIsNotHeldAgainstItsTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{start: func() (host.Refusal, error) {
-			return host.RefusedWrong, fault.New(fault.Unavailable, "connection refused")
+			return host.RefusedInvalid, fault.New(fault.Unavailable, "connection refused")
 		}}
 		r := newTest(worker)
 		_, err := r.takeOrders(t.Context(), nil, startOrders())
@@ -78,7 +78,7 @@
 		r, worker := startedTest(t)
 		worker.mu.Lock()
 		worker.start = func() (host.Refusal, error) {
-			return host.RefusedWrong, fault.New(fault.Unavailable, "connection refused")
+			return host.RefusedInvalid, fault.New(fault.Unavailable, "connection refused")
 		}
 		worker.mu.Unlock()
 		_, err := r.takeOrders(t.Context(), nil, startOrders())
@@ -126,7 +126,7 @@
 		assert.Equal(t, len(told), 1)
 		assert.Equal(t, told[0].Instance, "i-1")
 		assert.DeepEqual(t, told[0].Runs, []link.CrashedRun{{Run: wireRun(testRun(1)), Answered: true}})
-		assert.NilError(t, r.adopt(nil, record.Lead{Epoch: 4}))
+		assert.NilError(t, r.adopt(nil, record.Leader{Epoch: 4}))
 		assert.Equal(t, len(crashedUnder(r)), 1, "the next lead is told as well")
 		r.crashes.committed(told[0].Number - 1)
 		assert.Equal(t, len(crashedUnder(r)), 1)
@@ -142,11 +142,11 @@
 		r.unheld(testID, time.Now(), fault.New(fault.Unavailable, "connection refused"))
 		time.Sleep(300 * time.Millisecond)
 		report, _ := r.compose()
-		assert.Equal(t, report.BrokenMillis, int64(300))
+		assert.Equal(t, report.FirstFailureMillis, int64(300))
 		returnAnew(r, worker)
 		report, _ = r.compose()
-		assert.Equal(t, report.BrokenMillis, int64(0))
-		assert.Equal(t, report.Crashes[0].BrokenMillis, int64(1300))
+		assert.Equal(t, report.FirstFailureMillis, int64(0))
+		assert.Equal(t, report.Crashes[0].FirstFailureMillis, int64(1300))
 	})
 }
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -36,8 +36,8 @@
 	Dial rpc.Dialer
 	// Uptime is the clock of what the agent was permitted and told, which counts suspensions.
 	Uptime boottime.Clock
-	// Draw returns random numbers from 0 up to 1, which spread what all agents repeat.
-	Draw    func() float64
+	// Random returns random numbers from 0 up to 1, which spread what all agents repeat.
+	Random  func() float64
 	Secret  string
 	Logger  logging.Logger
 	Metrics *metric.Registry
@@ -59,7 +59,7 @@
 	// overtaken bounds those about what came too late.
 	overtaken rate.Sometimes
 	// patience goes by how long starts usually take to be answered.
-	patience *wait.Patience
+	patience *wait.Timeout
 	// lifetime ends with Run; work counts the orders under way, which hang on it.
 	lifetime context.Context
 	work     sync.WaitGroup
@@ -79,7 +79,7 @@
 	worker     *workerState
 	candidates []*workerState
 	ended      endedIncarnations
-	late       host.Late[lateStart]
+	late       host.LateCalls[lateStart]
 	// returns says that the worker has started again under an id that it had before.
 	returns bool
 	crashes crashes
@@ -90,11 +90,11 @@
 	r := &Runner{
 		config: config, logger: config.Logger, changed: make(chan struct{}, 1),
 		settled: make(chan struct{}, 1), heartbeat: make(chan struct{}, 1), nominated: make(chan struct{}, 1),
-		patience: wait.NewPatience(startLeast, startMost), unusable: rate.Sometimes{Interval: unusableEvery},
-		overtaken: rate.Sometimes{Interval: sightEvery}, storePause: wait.NewBackoff(storeFirst, storeLast, config.Draw),
+		patience: wait.NewTimeout(startLeast, startMost), unusable: rate.Sometimes{Interval: unusableEvery},
+		overtaken: rate.Sometimes{Interval: sightEvery}, storePause: wait.NewBackoff(storeFirst, storeLast, config.Random),
 		lifetime: context.Background(),
 	}
-	r.late = make(host.Late[lateStart])
+	r.late = make(host.LateCalls[lateStart])
 	r.mux = rpc.NewMux(config.Clock)
 	rpc.Handle(r.mux, link.MethodOrders, r.takeOrders)
 	return r
@@ -137,7 +137,7 @@
 		r.logger.Info("worker reports first; instance=%s service=%s cpu=%d memory=%d labels=%v draining=%t",
 			report.Incarnation, report.Service, report.Capacity.CPU, report.Capacity.Memory, report.Labels, report.Draining)
 		r.worker = newWorkerState(report, now)
-		wait.Wake(r.heartbeat)
+		wait.Notify(r.heartbeat)
 	case r.worker.id != report.Incarnation:
 		r.nominate(report, now)
 		return true
@@ -146,7 +146,7 @@
 		r.logger.Warn("the worker is of another service than was reported first; instance=%s service=%s reported=%s",
 			report.Incarnation, report.Service, r.worker.report.Service)
 		r.worker.report, r.worker.foreign = report, false
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 	case r.worker.report.Service != report.Service:
 		r.unusable.Do(func() {
 			r.logger.Warn("report of another service under the worker's name is ignored; instance=%s service=%s known=%s",
@@ -167,11 +167,11 @@
 	}
 	if report.Draining && !before.Draining {
 		r.logger.Info("worker drains; instance=%s remaining_ms=%d", report.Incarnation, report.Remaining.Milliseconds())
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 	}
 	if report.Capacity != before.Capacity {
 		r.logger.Info("worker has another room; instance=%s before=%v now=%v", report.Incarnation, before.Capacity, report.Capacity)
-		wait.Wake(r.changed)
+		wait.Notify(r.changed)
 	}
 }
 
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -36,7 +36,7 @@
 
 // newTest returns an agent that follows epoch 3 and has a worker's life, permitted for 5 seconds.
 func newTest(worker *fakeWorker) *Runner {
-	r := New(Config{VM: "vm", ClosedWithin: testClosedWithin, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Draw: func() float64 { return 0.5 }, Metrics: metric.New()})
+	r := New(Config{VM: "vm", ClosedWithin: testClosedWithin, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Random: func() float64 { return 0.5 }, Metrics: metric.New()})
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Capacity: job.Size{CPU: 4000, Memory: 1000}, Sequence: 1})
 	r.epoch = 3
 	r.fences.grant(3, 3, 3)
@@ -54,7 +54,7 @@
 func accept() (host.Refusal, error) { return host.Accepted, nil }
 
 func noAnswer() (host.Refusal, error) {
-	return host.RefusedWrong, fault.New(fault.OutcomeUnknown, "no answer")
+	return host.RefusedInvalid, fault.New(fault.OutcomeUnknown, "no answer")
 }
 
 func TestStartIsCarriedOutOnce(t *testing.T) {
@@ -90,8 +90,8 @@
 		report, _ := r.compose()
 		assert.Equal(t, len(report.Rejected), 0)
 		assert.Equal(t, len(report.Pending), 1)
-		r.held(context.Background(), testID, host.Hold{}, host.View{})
-		r.held(context.Background(), testID, host.Hold{}, host.View{})
+		r.held(context.Background(), testID, host.Renewal{}, host.View{})
+		r.held(context.Background(), testID, host.Renewal{}, host.View{})
 		report, _ = r.compose()
 		assert.Equal(t, len(report.Rejected), 1)
 	})
@@ -175,7 +175,7 @@
 		time.Sleep(holdTime)
 		report, _ = r.compose()
 		assert.Assert(t, report.Lapsed)
-		r.held(context.Background(), testID, host.Hold{}, host.View{})
+		r.held(context.Background(), testID, host.Renewal{}, host.View{})
 		report, _ = r.compose()
 		assert.Assert(t, !report.Silent)
 	})
@@ -187,28 +187,28 @@
 		r := newTest(worker)
 		_, err := r.takeOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
-		assert.NilError(t, r.adopt(nil, record.Lead{Epoch: 4}))
+		assert.NilError(t, r.adopt(nil, record.Leader{Epoch: 4}))
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, len(worker.started()) <= 1)
 		report, _ := r.compose()
 		assert.Equal(t, len(report.Pending), 0)
 		assert.Assert(t, !report.Fenced)
-		assert.Assert(t, fault.Is(r.adopt(nil, record.Lead{Epoch: 3}), fault.Stale))
+		assert.Assert(t, fault.Is(r.adopt(nil, record.Leader{Epoch: 3}), fault.Stale))
 	})
 }
 
 func TestEndsAreReportedUntilTheyAreTakenNoteOf(t *testing.T) {
 	r := newTest(&fakeWorker{start: accept})
-	ended := host.View{Ended: []host.Ended{{Number: 7, Run: testRun(1), End: job.EndDone}}}
-	assert.Assert(t, r.held(context.Background(), testID, host.Hold{Fence: 3}, ended))
+	ended := host.View{Ended: []host.EndedRun{{Sequence: 7, Run: testRun(1), End: job.EndDone}}}
+	assert.Assert(t, r.held(context.Background(), testID, host.Renewal{Fence: 3}, ended))
 	report, l := r.compose()
 	assert.Assert(t, report.Fenced)
 	assert.Equal(t, len(report.Ended), 1)
 	l.learn(report, link.ReportAnswer{Epoch: 3})
 	assert.Equal(t, l.seen, uint64(0))
-	l.learn(report, link.ReportAnswer{Epoch: 3, Seen: 7})
+	l.learn(report, link.ReportAnswer{Epoch: 3, AcknowledgedEnds: 7})
 	_, hold, _ := r.nextHold()
-	assert.Equal(t, hold.Seen, uint64(7))
+	assert.Equal(t, hold.Acknowledged, uint64(7))
 }
 
 // Runs of the tests of the pace: a task that serves under a target of 10 ms, and one that fills.
@@ -219,14 +219,14 @@
 
 // crowd lets the agent know a serving task and a filling one beside it.
 func crowd(r *Runner) {
-	r.worker.profiles[servingRun] = link.Profile{Run: wireRun(servingRun), Image: "web", CPU: 1000, TargetMillis: 10, Lasting: true}
-	r.worker.profiles[fillingRun] = link.Profile{Run: wireRun(fillingRun), Image: "mail", CPU: 1000, Fills: true}
+	r.worker.profiles[servingRun] = link.Profile{Run: wireRun(servingRun), Image: "web", CPU: 1000, TargetMillis: 10, LongRunning: true}
+	r.worker.profiles[fillingRun] = link.Profile{Run: wireRun(fillingRun), Image: "mail", CPU: 1000, BestEffort: true}
 }
 
 // show lets the worker show a tail, in milliseconds, beside a filling task.
 func show(r *Runner, tail int) {
-	r.held(context.Background(), testID, host.Hold{Fence: 3}, host.View{Running: []host.Running{
-		{Run: servingRun, Percent: 100, Figure: tail}, {Run: fillingRun, Figure: 500},
+	r.held(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
+		{Run: servingRun, Percent: 100, Measurement: tail}, {Run: fillingRun, Measurement: 500},
 	}})
 }
 
@@ -243,7 +243,7 @@
 			show(r, 20)
 		}
 		orders := startOrders()
-		orders.Starts[0].Fills = true
+		orders.Starts[0].BestEffort = true
 		_, err := r.takeOrders(context.Background(), nil, orders)
 		assert.NilError(t, err)
 		synctest.Wait()
@@ -268,11 +268,11 @@
 			show(r, 20)
 		}
 		late := host.Run{Task: job.TaskID{Job: "00000000000000dd"}, Number: 1}
-		r.worker.profiles[late] = link.Profile{Run: wireRun(late), Image: "scan", CPU: 1000, Fills: true}
-		r.held(context.Background(), testID, host.Hold{Fence: 3}, host.View{Running: []host.Running{
-			{Run: servingRun, Percent: 100, Figure: 20}, {Run: late, Figure: 500},
+		r.worker.profiles[late] = link.Profile{Run: wireRun(late), Image: "scan", CPU: 1000, BestEffort: true}
+		r.held(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
+			{Run: servingRun, Percent: 100, Measurement: 20}, {Run: late, Measurement: 500},
 		}})
-		assert.Equal(t, r.worker.paceOf(late), pacing.Least)
+		assert.Equal(t, r.worker.paceOf(late), pacing.Min)
 	})
 }
 
@@ -286,7 +286,7 @@
 			show(r, 20)
 			time.Sleep(500 * time.Millisecond)
 		}
-		assert.Equal(t, r.worker.paceOf(fillingRun), pacing.Least)
+		assert.Equal(t, r.worker.paceOf(fillingRun), pacing.Min)
 	})
 }
 
@@ -296,9 +296,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{start: accept})
 		crowd(r)
-		l, web := r.worker, host.Running{Run: servingRun, Percent: 100, Figure: 5}
-		l.learn(link.Report{}, link.ReportAnswer{Swing: 0.6, Loads: map[string]link.Load{
-			servingRun.Task.StepName(): {Value: 2, Slope: -1, Usual: 2, Deviation: 0.2},
+		l, web := r.worker, host.Running{Run: servingRun, Percent: 100, Measurement: 5}
+		l.learn(link.Report{}, link.ReportAnswer{LoadFrequency: 0.6, Loads: map[string]link.Load{
+			servingRun.Task.StepName(): {Headroom: 2, Slope: -1, Mean: 2, Deviation: 0.2},
 		}})
 		headroom, deviation := l.ahead(time.Now(), web, l.profiles[servingRun], nil)
 		assert.Assert(t, headroom < 1.6 && headroom > 1.3, "%.2f", headroom)
--- a/internal/runner/patience_test.go
+++ b/internal/runner/start_timeout_test.go
@@ -32,7 +32,7 @@
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
-		return host.RefusedWrong, fault.New(fault.OutcomeUnknown, "no answer")
+		return host.RefusedInvalid, fault.New(fault.OutcomeUnknown, "no answer")
 	}
 	if _, known := w.accepted[order.Run.Task]; !known {
 		w.accepted[order.Run.Task] = time.Now()
