--- a/internal/runner/suspended_test.go
+++ b/internal/runner/suspended_test.go
@@ -30,7 +30,7 @@
 				r := newTest(&fakeWorker{start: accept})
 				suspend(t, r, d)
 				// The worker answers the agent that woke, so that its clock is known as of now.
-				r.held(t.Context(), testID, host.Hold{}, host.View{Clock: host.Clock(time.Minute)})
+				r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
 				left := min(holdTime, 5*time.Second-d)
 				want := host.Clock(0)
 				if left > 0 {
@@ -46,7 +46,7 @@
 func TestClockReadBeforeASuspensionIsNotTakenAsNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{start: accept})
-		r.held(t.Context(), testID, host.Hold{}, host.View{Clock: host.Clock(time.Minute)})
+		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
 		suspend(t, r, 2*time.Second)
 		assert.Equal(t, r.until(r.worker), host.Clock(time.Minute)+host.Clock(clockRate*float64(3*time.Second)))
 	})
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{start: accept}
 		r := newTest(worker)
-		r.held(t.Context(), testID, host.Hold{}, host.View{Clock: 1, Running: []host.Running{{Run: testRun(1)}}})
+		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: testRun(1)}}})
 		_, _, ok := r.nextHold()
 		assert.Assert(t, ok)
 		synctest.Wait()
--- a/internal/runner/uplink.go
+++ b/internal/runner/uplink.go
@@ -24,7 +24,7 @@
 
 // report keeps a connection to the lead and tells it what the worker has.
 func (r *Runner) report(ctx context.Context) error {
-	pause := wait.NewBackoff(searchFirst, searchLast, r.config.Draw)
+	pause := wait.NewBackoff(searchFirst, searchLast, r.config.Random)
 	// failed is the epoch of a leader that did not answer.
 	failed := uint64(0)
 	for ctx.Err() == nil {
@@ -32,7 +32,7 @@
 		if err == nil {
 			wait.For(ctx, r.returnPause(leader))
 			var reported bool
-			reported, err = r.follow(ctx, leader.Lead)
+			reported, err = r.follow(ctx, leader.Leader)
 			failed = failedEpoch(leader.Epoch, reported, err)
 			if reported {
 				pause.Reset()
@@ -65,7 +65,7 @@
 }
 
 // follow reports to one lead until it does not answer or another leads, and returns whether it answered a report.
-func (r *Runner) follow(ctx context.Context, lead record.Lead) (bool, error) {
+func (r *Runner) follow(ctx context.Context, lead record.Leader) (bool, error) {
 	bounded, cancel := context.WithTimeout(ctx, dialPatience)
 	session, err := rpc.DialWith(bounded, r.config.Dial, lead.Address, r.config.Secret, r.mux)
 	cancel()
@@ -76,7 +76,7 @@
 	if err := r.adopt(session, lead); err != nil {
 		return false, err
 	}
-	r.logger.Info("lead followed; epoch=%d node=%s", lead.Epoch, lead.Node)
+	r.logger.Info("lead followed; epoch=%d node=%s", lead.Epoch, lead.Process)
 	checked, u := time.Now(), &uplink{session: session}
 	reported := false
 	for ctx.Err() == nil {
@@ -106,7 +106,7 @@
 }
 
 // adopt binds the agent to a lead; it never goes back to an earlier epoch.
-func (r *Runner) adopt(session *rpc.Peer, lead record.Lead) error {
+func (r *Runner) adopt(session *rpc.Peer, lead record.Leader) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if lead.Epoch < r.epoch {
@@ -160,28 +160,28 @@
 	if len(answer.Entries) > 0 {
 		r.config.Pool.Learn(answer.Entries)
 	}
-	r.config.Worker.Limit(answer.Connections)
+	r.config.Worker.LimitConnections(answer.Connections)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if answer.Epoch != r.epoch {
 		return false, fault.New(fault.Stale, "the lead has epoch %d, not %d", answer.Epoch, r.epoch)
 	}
 	if r.fences.grant(r.epoch, answer.FirstFence, answer.LastFence) {
-		wait.Wake(r.heartbeat)
+		wait.Notify(r.heartbeat)
 	}
 	r.hall.learn(answer.Hall, sent)
-	r.crashes.committed(answer.Crashes)
+	r.crashes.committed(answer.AcknowledgedCrashes)
 	if w != nil && w == r.worker && !r.permitted.IsZero() && sent.After(r.permitted) {
 		r.forsake(w)
 	}
-	if until := sent.Add(time.Duration(answer.PermissionMillis) * time.Millisecond); until.After(r.permitted) {
+	if until := sent.Add(time.Duration(answer.LeaseMillis) * time.Millisecond); until.After(r.permitted) {
 		r.permitted = until
 	}
 	if w != nil && w == r.worker {
 		w.learn(report, answer)
-		wait.Wake(r.settled)
+		wait.Notify(r.settled)
 	}
-	return answer.Doubtful, nil
+	return answer.Unverified, nil
 }
 
 // forsake takes back all starts under way: the permission was over meanwhile, so that the lead may have given their runs
@@ -198,11 +198,11 @@
 // learn stores what the leader has committed and knows.
 func (w *workerState) learn(report link.Report, answer link.ReportAnswer) {
 	if report.Fenced {
-		w.seen = max(w.seen, answer.Seen)
+		w.seen = max(w.seen, answer.AcknowledgedEnds)
 	}
-	w.foreign = answer.Foreign && report.Service == w.report.Service
+	w.foreign = answer.UnknownService && report.Service == w.report.Service
 	w.profile(answer.Profiles)
-	w.presses, w.swing, w.starved = answer.Presses, answer.Swing, answer.Starved
+	w.presses, w.swing, w.starved = answer.Interference, answer.LoadFrequency, answer.Backlog
 	w.loads = loadsOf(answer.Loads, time.Now())
 	for _, rejected := range report.Rejected {
 		if run, ok := parseRun(rejected.Run); ok && w.orders[run] != nil && w.orders[run].final {
@@ -215,7 +215,7 @@
 func loadsOf(told map[string]link.Load, now time.Time) map[string]pressure.Load {
 	loads := make(map[string]pressure.Load, len(told))
 	for name, t := range told {
-		loads[name] = pressure.Load{Value: t.Value, Slope: t.Slope, Usual: t.Usual, Deviation: t.Deviation, Seen: now}
+		loads[name] = pressure.Load{Headroom: t.Headroom, Slope: t.Slope, Mean: t.Mean, Deviation: t.Deviation, Time: now}
 	}
 	return loads
 }
@@ -230,10 +230,10 @@
 		return report, nil
 	}
 	own := w.report
-	report.Instance, report.Born, report.Service, report.Labels = w.id.Worker(), w.id.Born(), own.Service, own.Labels
+	report.Instance, report.StartMillis, report.Service, report.Labels = w.id.Worker(), w.id.StartMillis(), own.Service, own.Labels
 	report.CPU, report.Memory, report.GPU = own.Capacity.CPU, own.Capacity.Memory, own.Capacity.GPU
 	report.Draining, report.RemainingMillis = own.Draining, own.Remaining.Milliseconds()
-	report.Silent, report.BrokenMillis = w.silent, brokenMillis(w.broken)
+	report.Silent, report.FirstFailureMillis = w.silent, brokenMillis(w.broken)
 	report.Lapsed = w.silent && (w.gone || time.Now().After(w.until))
 	report.Fenced = w.views > 0 && r.fences.covers(w.fenced, r.epoch)
 	w.describe(&report)
@@ -246,7 +246,7 @@
 	for _, e := range w.view.Ended {
 		shown[e.Run] = true
 		report.Ended = append(report.Ended, link.Ended{
-			Run: wireRun(e.Run), Sequence: e.Number, End: int(e.End), Checkpoint: e.Checkpoint,
+			Run: wireRun(e.Run), Sequence: e.Sequence, End: int(e.End), Checkpoint: e.Checkpoint,
 		})
 	}
 	for _, running := range w.view.Running {
@@ -255,7 +255,7 @@
 			report.Unknown = append(report.Unknown, wireRun(running.Run))
 		}
 		report.Running = append(report.Running, link.Running{
-			Run: wireRun(running.Run), Percent: running.Percent, Figure: running.Figure,
+			Run: wireRun(running.Run), Percent: running.Percent, Measurement: running.Measurement,
 			Pace: w.paceOf(running.Run), Checkpoint: running.Checkpoint, Fresh: w.begun.fresh(running.Run),
 		})
 	}
--- a/internal/runner/worker.go
+++ b/internal/runner/worker.go
@@ -46,7 +46,7 @@
 	reported bool
 	orders   map[host.Run]*order
 	// begun are the runs that it may have.
-	begun begunRuns
+	begun possible
 	// refused is the highest run of each task that was refused; an order for it that comes again is not carried out.
 	refused  map[job.TaskID]int
 	profiles map[host.Run]link.Profile
@@ -59,7 +59,7 @@
 	// over is since when serving tasks have been over their targets.
 	over map[host.Run]time.Time
 	// tracks follow the headrooms of serving tasks; used is the share of the worker that each image that fills used last.
-	tracks map[host.Run]*pressure.Track
+	tracks map[host.Run]*pressure.Tracker
 	used   map[string]float64
 	// swing is how fast the loads of serving tasks swing, as the lead tells, 0 before that.
 	swing float64
@@ -67,7 +67,7 @@
 	starved float64
 	// loads are those of serving steps, as the lead tells; owns follow by how much single tasks are off them.
 	loads map[string]pressure.Load
-	owns  map[host.Run]*pressure.Own
+	owns  map[host.Run]*pressure.Residual
 }
 
 // order is a start or a stop that is under way, or whose end is still to be told.
@@ -86,10 +86,10 @@
 func newWorkerState(report host.Report, now time.Time) *workerState {
 	return &workerState{
 		id: report.Incarnation, report: report, clock: report.Clock, read: now, answered: now,
-		orders: make(map[host.Run]*order), begun: make(begunRuns), refused: make(map[job.TaskID]int),
+		orders: make(map[host.Run]*order), begun: make(possible), refused: make(map[job.TaskID]int),
 		profiles: make(map[host.Run]link.Profile), paces: make(map[host.Run]int),
-		over: make(map[host.Run]time.Time), tracks: make(map[host.Run]*pressure.Track),
-		owns: make(map[host.Run]*pressure.Own),
+		over: make(map[host.Run]time.Time), tracks: make(map[host.Run]*pressure.Tracker),
+		owns: make(map[host.Run]*pressure.Residual),
 	}
 }
 
--- a/internal/scheduling/batch.go
+++ b/internal/scheduling/batch.go
@@ -50,7 +50,7 @@
 	teams := make(map[string]*queueing.Team)
 	for _, r := range p.table.Rows() {
 		if r.Kind() == table.Team {
-			teams[r.Workload()] = queueing.NewTeam(resource.Vector{}, p.share.Part(r.Size()), r.Weight())
+			teams[r.Workload()] = queueing.NewTeam(resource.Vector{}, p.share.Quota(r.Size()), r.Weight())
 		}
 	}
 	for _, r := range p.table.Rows() {
@@ -60,7 +60,7 @@
 	}
 	for _, t := range p.tasks {
 		if r, ok := p.table.Row(t.Workload()); ok && t.IsPlaced() && !t.IsService() {
-			teams[r.Team()].Take(t.Size())
+			teams[r.Team()].Allocate(t.Size())
 		}
 	}
 	return teams
@@ -129,14 +129,14 @@
 	}
 	p.setHarm(w.row, w.size)
 	verdict := placement.Choose(placement.NewRequest(w.size, false), p.nodes, p.weights)
-	if verdict.Node() < 0 || !p.assign(id, verdict.Node(), w.size) {
-		p.pass(w, Waiting{reason: verdict.Main(), never: !Possible(w.size, p.workers)})
+	if verdict.Index() < 0 || !p.assign(id, verdict.Index(), w.size) {
+		p.pass(w, Waiting{reason: verdict.MainReason(), never: !FitsEmptyWorker(w.size, p.workers)})
 		p.reserve(w)
 		return
 	}
-	p.addHarm(verdict.Node(), w.row.Workload(), w.size)
+	p.addHarm(verdict.Index(), w.row.Workload(), w.size)
 	running[w.row.Workload()]++
-	w.entry.Team().Take(w.size)
+	w.entry.Team().Allocate(w.size)
 	w.took()
 }
 
@@ -179,7 +179,7 @@
 func (p *planner) addHarm(node int, workload string, size resource.Vector) {
 	w := p.workers[node]
 	for service, band := range w.bands {
-		p.harms[node][service] += p.model.Mean(service, workload, band, p.now) * shareOf(size, w.capacity)
+		p.harms[node][service] += p.model.MeanSlowdown(service, workload, band, p.now) * shareOf(size, w.capacity)
 	}
 }
 
@@ -189,11 +189,11 @@
 		harm := 0.0
 		for service, band := range w.bands {
 			if !p.options.NoInterference {
-				more := p.model.Harm(service, r.Workload(), band, shareOf(size, w.capacity), p.now)
+				more := p.model.SlowdownBound(service, r.Workload(), band, shareOf(size, w.capacity), p.now)
 				harm = max(harm, p.harms[i][service]+more)
 			}
 		}
-		p.nodes[i].SetHarm(harm / w.bears)
+		p.nodes[i].SetInterference(harm / w.bears)
 	}
 }
 
@@ -217,6 +217,6 @@
 		}
 	}
 	if best >= 0 {
-		p.nodes[best].Close(placement.NodeReserved)
+		p.nodes[best].Close(placement.WorkerReserved)
 	}
 }
--- a/internal/scheduling/plan.go
+++ b/internal/scheduling/plan.go
@@ -58,7 +58,7 @@
 	Snapshot
 	document *cell.Document
 	plan     *Plan
-	nodes    []placement.Node
+	nodes    []placement.Candidate
 	places   map[string]int
 	tasks    []cell.Task
 	// harms is what the batch tasks of each worker are believed to slow each of its services by.
@@ -101,7 +101,7 @@
 }
 
 func (p *planner) buildNodes() {
-	p.nodes = make([]placement.Node, len(p.workers))
+	p.nodes = make([]placement.Candidate, len(p.workers))
 	p.places = make(map[string]int, len(p.workers))
 	used := make([]resource.Vector, len(p.workers))
 	for i, w := range p.workers {
@@ -113,10 +113,10 @@
 		}
 	}
 	for i, w := range p.workers {
-		p.nodes[i] = placement.NewNode(w.capacity, w.capacity.Sub(used[i]), w.rack)
+		p.nodes[i] = placement.NewCandidate(w.capacity, w.capacity.Sub(used[i]), w.rack)
 		p.nodes[i].Close(w.closed)
 		if w.pressed && !p.options.NoPressure {
-			p.nodes[i].Press()
+			p.nodes[i].BlockBatch()
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	if err != nil {
 		return false
 	}
-	p.nodes[node].Take(size)
+	p.nodes[node].Allocate(size)
 	p.plan.assigned = append(p.plan.assigned, run)
 	p.plan.changed = true
 	return true
--- a/internal/scheduling/plan_test.go
+++ b/internal/scheduling/plan_test.go
@@ -69,7 +69,7 @@
 			for workload, tasks := range c.jobs {
 				d.Submit(cell.NewJob("job-"+workload, workload, "", tasks, now))
 			}
-			plan := Make(d, NewSnapshot(now, rows(t, small), c.workers, Whole()))
+			plan := Make(d, NewSnapshot(now, rows(t, small), c.workers, FullShare()))
 			for workload, want := range c.placed {
 				assert.Equal(t, placedOf(d, workload), want, workload)
 			}
@@ -82,7 +82,7 @@
 
 func closed(list []Worker) []Worker {
 	for i := range list {
-		list[i] = list[i].Closed(placement.NodeLeaving)
+		list[i] = list[i].WithClosed(placement.WorkerLeaving)
 	}
 	return list
 }
@@ -102,9 +102,9 @@
 	d.Submit(cell.NewJob("job", "mailing", "", 4, now))
 	only := workers(1, resource.New(8000, 9000, 0))
 	text := "workload,kind,team,processors,memory_mb,replicas,concurrency,evictions\nmailing,batch,a,2,1000,,100,1\n"
-	Make(d, NewSnapshot(now, rows(t, text), only, Whole()))
+	Make(d, NewSnapshot(now, rows(t, text), only, FullShare()))
 	assert.Equal(t, placedOf(d, "mailing"), 4)
-	plan := Make(d, NewSnapshot(now, rows(t, text+"lookups,service,a,4,1000,1,,\n"), only, Whole()))
+	plan := Make(d, NewSnapshot(now, rows(t, text+"lookups,service,a,4,1000,1,,\n"), only, FullShare()))
 	assert.Equal(t, len(plan.Evict()), 2)
 }
 
@@ -121,14 +121,14 @@
 	d := cell.New()
 	d.Submit(cell.NewJob("job", "mailing", "", 3, now))
 	text := "workload,kind,team,processors,memory_mb,concurrency\nmailing,batch,a,2,1000,100\n"
-	Make(d, NewSnapshot(now, rows(t, text), list, Whole()).WithModel(model))
-	assert.Equal(t, len(d.Placed("vm-00")), 0)
-	assert.Equal(t, len(d.Placed("vm-01")), 3)
+	Make(d, NewSnapshot(now, rows(t, text), list, FullShare()).WithModel(model))
+	assert.Equal(t, len(d.PlacedOn("vm-00")), 0)
+	assert.Equal(t, len(d.PlacedOn("vm-01")), 3)
 	// A service far from its target bears more.
-	list[0] = list[0].Tolerating(10)
+	list[0] = list[0].WithTolerance(10)
 	d.Submit(cell.NewJob("more", "mailing", "", 3, now))
-	Make(d, NewSnapshot(now, rows(t, text), list, Whole()).WithModel(model))
-	assert.Assert(t, len(d.Placed("vm-00")) > 0)
+	Make(d, NewSnapshot(now, rows(t, text), list, FullShare()).WithModel(model))
+	assert.Assert(t, len(d.PlacedOn("vm-00")) > 0)
 }
 
 // BenchmarkMake is the time of a plan for each task that it places, in a cell of 32 workers with 500 tasks.
@@ -143,8 +143,8 @@
 		list[i] = list[i].WithBands(map[string]interference.Band{"service-0": 0, "service-1": 0, "service-2": 0})
 	}
 	weights := placement.DefaultWeights()
-	weights.MaxHarm = 1000
-	snapshot := NewSnapshot(now, t, list, Whole()).WithWeights(weights)
+	weights.MaxInterference = 1000
+	snapshot := NewSnapshot(now, t, list, FullShare()).WithWeights(weights)
 	full := cell.New()
 	full.Submit(cell.NewJob("base", "mailing", "", 404, now))
 	for range 4 {
--- a/internal/scheduling/services.go
+++ b/internal/scheduling/services.go
@@ -25,13 +25,13 @@
 func (p *planner) placeReplica(t cell.Task, r table.Row) {
 	p.setReplicas(r.Workload())
 	verdict := placement.Choose(placement.NewRequest(r.Size(), true), p.nodes, p.weights)
-	if verdict.Node() >= 0 {
-		if p.assign(t.ID(), verdict.Node(), r.Size()) {
+	if verdict.Index() >= 0 {
+		if p.assign(t.ID(), verdict.Index(), r.Size()) {
 			p.tasks = p.document.Tasks()
 		}
 		return
 	}
-	p.plan.waiting[r.Workload()] = Waiting{reason: verdict.Main(), never: !Possible(r.Size(), p.workers)}
+	p.plan.waiting[r.Workload()] = Waiting{reason: verdict.MainReason(), never: !FitsEmptyWorker(r.Size(), p.workers)}
 	p.makeRoom(r.Size())
 }
 
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -27,15 +27,15 @@
 	return Worker{instance: instance, capacity: capacity, rack: rack, bears: 1}
 }
 
-// Closed returns the worker closed for a reason; Chosen leaves it open.
-func (w Worker) Closed(reason placement.Reason) Worker { w.closed = reason; return w }
+// WithClosed returns the worker closed for a reason; Chosen leaves it open.
+func (w Worker) WithClosed(reason placement.Reason) Worker { w.closed = reason; return w }
 
-// Pressed returns the worker with or without room for batch tasks beside its services.
-func (w Worker) Pressed(pressed bool) Worker { w.pressed = pressed; return w }
+// WithBatchBlocked returns the worker with or without room for batch tasks beside its services.
+func (w Worker) WithBatchBlocked(pressed bool) Worker { w.pressed = pressed; return w }
 
-// Tolerating returns the worker whose services bear a number of times the plain harm, since they are far from their
+// WithTolerance returns the worker whose services bear a number of times the plain harm, since they are far from their
 // targets.
-func (w Worker) Tolerating(times float64) Worker { w.bears = times; return w }
+func (w Worker) WithTolerance(times float64) Worker { w.bears = times; return w }
 
 // WithBands returns the worker with the load band of each service on it.
 func (w Worker) WithBands(bands map[string]interference.Band) Worker { w.bands = bands; return w }
@@ -81,16 +81,16 @@
 	return Share{before: before, own: own, all: max(all, 1)}
 }
 
-// Whole returns the share of a cell that is alone in its region.
-func Whole() Share { return Share{own: 1, all: 1} }
+// FullShare returns the share of a cell that is alone in its region.
+func FullShare() Share { return Share{own: 1, all: 1} }
 
 // Of returns the part of a whole number that falls to the cell; the parts of all cells make the number.
 func (s Share) Of(total int) int {
 	return total*(s.before+s.own)/s.all - total*s.before/s.all
 }
 
-// Part returns the part of a quota that falls to the cell; no limit stays none.
-func (s Share) Part(quota resource.Vector) resource.Vector {
+// Quota returns the part of a quota that falls to the cell; no limit stays none.
+func (s Share) Quota(quota resource.Vector) resource.Vector {
 	return resource.New(s.part(quota.Processors()), s.part(quota.Memory()), s.part(quota.Accelerators()))
 }
 
@@ -139,8 +139,8 @@
 	return estimate.Size(r.Size())
 }
 
-// Possible reports whether a worker of the cell, taken empty, could run a task of a size.
-func Possible(size resource.Vector, workers []Worker) bool {
+// FitsEmptyWorker reports whether a worker of the cell, taken empty, could run a task of a size.
+func FitsEmptyWorker(size resource.Vector, workers []Worker) bool {
 	for _, w := range workers {
 		if size.Fits(w.capacity) {
 			return true
--- a/internal/wait/patience_test.go
+++ b/internal/wait/patience_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestPatienceGoesByTheUsualAnswer(t *testing.T) {
-	p := NewPatience(100*time.Millisecond, 900*time.Millisecond)
+	p := NewTimeout(100*time.Millisecond, 900*time.Millisecond)
 	assert.Equal(t, p.First(), 100*time.Millisecond)
-	assert.Equal(t, p.Longer(p.First()), 200*time.Millisecond)
+	assert.Equal(t, p.Extend(p.First()), 200*time.Millisecond)
 	for range 50 {
-		p.Answered(50 * time.Millisecond)
+		p.Observe(50 * time.Millisecond)
 	}
 	assert.Assert(t, p.First() > 350*time.Millisecond && p.First() <= 400*time.Millisecond, "%v", p.First())
 	for range 50 {
-		p.Answered(time.Second)
+		p.Observe(time.Second)
 	}
 	assert.Equal(t, p.First(), 900*time.Millisecond)
-	assert.Equal(t, p.Longer(p.First()), 900*time.Millisecond)
+	assert.Equal(t, p.Extend(p.First()), 900*time.Millisecond)
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// Wake sends a signal on a channel with room for one, unless a signal is already there.
-func Wake(c chan<- struct{}) {
+// Notify sends a signal on a channel with room for one, unless a signal is already there.
+func Notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/proving/cmd/docs/main.go
+++ b/proving/cmd/docs/main.go
@@ -73,7 +73,7 @@
 	out.WriteString("| kind | HTTP status | exit code | ran | tells when to return |\n| --- | --- | --- | --- | --- |\n")
 	for k := fault.Internal; k <= fault.Unauthorized; k++ {
 		returns := "no"
-		if k.Answer().Returns() {
+		if k.Answer().HasRetryAfter() {
 			returns = "yes"
 		}
 		fmt.Fprintf(&out, "| `%s` | %d | %d | %s | %s |\n", k, k.Answer().Status(), k.Answer().ExitCode(), k.Answer().Ran(), returns)
--- a/proving/decision/batch.go
+++ b/proving/decision/batch.go
@@ -60,7 +60,7 @@
 			s.result.workLost += r.progress * float64(r.load.RuntimeS)
 		}
 		w.runs = make(map[task.Run]*fakeRun)
-		s.document.Lose(w.instance())
+		s.document.LoseInstance(w.instance())
 		s.dropReplica(w)
 	}
 }
--- a/proving/decision/decide.go
+++ b/proving/decision/decide.go
@@ -29,7 +29,7 @@
 		}
 	}
 	workers := s.snapshotWorkers()
-	snapshot := scheduling.NewSnapshot(s.clock(), s.rows, workers, scheduling.Whole()).
+	snapshot := scheduling.NewSnapshot(s.clock(), s.rows, workers, scheduling.FullShare()).
 		WithEstimates(s.sizes).WithModel(s.model).WithNotBefore(s.before).WithOptions(s.column.options)
 	if s.column.placer == planned {
 		plan := scheduling.Make(s.document, snapshot)
@@ -46,15 +46,15 @@
 func (s *sim) snapshotWorkers() []scheduling.Worker {
 	workers := make([]scheduling.Worker, 0, len(s.workers))
 	for _, w := range s.workers {
-		described := scheduling.NewWorker(w.instance(), s.capacityOf(w), 1+w.number/3).Pressed(w.remedy.IsPressed()).Tolerating(remedy.DefaultPolicy().Tolerance(w.ratio))
+		described := scheduling.NewWorker(w.instance(), s.capacityOf(w), 1+w.number/3).WithBatchBlocked(w.remedy.BlocksBatch()).WithTolerance(remedy.DefaultPolicy().Tolerance(w.ratio))
 		if w.replica != nil {
 			described = described.WithBands(map[string]interference.Band{s.day.Service.Name: w.band})
 		}
 		switch {
 		case w.lost:
-			described = described.Closed(placement.NodeLeaving)
+			described = described.WithClosed(placement.WorkerLeaving)
 		case !s.column.noProbation && !workerProbation.Allows(&w.health, s.clock()):
-			described = described.Closed(placement.NodeProbation)
+			described = described.WithClosed(placement.WorkerProbation)
 		}
 		workers = append(workers, described)
 	}
@@ -79,7 +79,7 @@
 	}
 	r.window.Reset()
 	r.busy, r.offers, r.ran = 0, 0, 0
-	in := remedy.Input{Now: s.clock(), Ratio: w.ratio, Slowdown: w.slowdown, Loads: s.loads(w)}
+	in := remedy.Input{Now: s.clock(), LatencyRatio: w.ratio, Slowdown: w.slowdown, Loads: s.loads(w)}
 	evicts := remedy.DefaultPolicy().Step(&w.remedy, in)
 	switch {
 	case s.column.evictBreach && w.ratio >= 1:
@@ -94,7 +94,7 @@
 	shares := s.shares(w, false)
 	loads := make([]remedy.Load, 0, len(shares))
 	for _, n := range shares {
-		harm := w.model.Mean(s.day.Service.Name, n.Workload(), w.band, s.clock()) * n.Share()
+		harm := w.model.MeanSlowdown(s.day.Service.Name, n.Workload(), w.band, s.clock()) * n.Share()
 		loads = append(loads, remedy.NewLoad(n.Workload(), harm, s.load[n.Workload()].Weight))
 	}
 	return loads
@@ -116,7 +116,7 @@
 	for _, r := range w.runs {
 		share := float64(r.size.Processors()) / float64(s.day.Processors*1000)
 		if throttled {
-			share *= float64(s.throttle(w, r)) / remedy.Full
+			share *= float64(s.throttle(w, r)) / remedy.Unthrottled
 		}
 		shares[r.load.Name] += share
 	}
@@ -131,7 +131,7 @@
 // evictOne checkpoints a task: with a budget the evictable one of least weight, else any.
 func (s *sim) evictOne(w *fakeWorker, budgeted bool) {
 	best, found, weight := cell.Task{}, false, 0
-	for _, t := range s.document.Placed(w.instance()) {
+	for _, t := range s.document.PlacedOn(w.instance()) {
 		if t.IsService() || (budgeted && !scheduling.Evictable(t, s.rows)) {
 			continue
 		}
@@ -162,7 +162,7 @@
 		if w.lost {
 			continue
 		}
-		for _, t := range s.document.Placed(w.instance()) {
+		for _, t := range s.document.PlacedOn(w.instance()) {
 			s.start(w, t)
 		}
 		for _, run := range w.ordered() {
@@ -192,7 +192,7 @@
 		progress -= restore / float64(load.RuntimeS)
 	}
 	w.runs[t.Run()] = &fakeRun{load: load, size: t.Size(), progress: progress, started: s.now}
-	workerProbation.Try(&w.health)
+	workerProbation.StartTrial(&w.health)
 }
 
 func (s *sim) startReplica(w *fakeWorker) {
@@ -237,7 +237,7 @@
 	free := make([]resource.Vector, len(workers))
 	for i, w := range workers {
 		free[i] = w.Capacity()
-		for _, t := range s.document.Placed(w.Instance()) {
+		for _, t := range s.document.PlacedOn(w.Instance()) {
 			free[i] = free[i].Sub(t.Size())
 		}
 	}
--- a/proving/decision/result.go
+++ b/proving/decision/result.go
@@ -35,7 +35,7 @@
 	s.result.p99 = float64(s.window.ValueAtQuantile(99)) / target
 	s.result.p999 = float64(s.window.ValueAtQuantile(99.9)) / target
 	due, ended := 0, 0
-	for _, j := range append(slices.Clone(s.document.Ended()), s.document.Jobs()...) {
+	for _, j := range append(slices.Clone(s.document.EndedJobs()), s.document.Jobs()...) {
 		if j.State() == cell.JobCanceled {
 			continue
 		}
--- a/proving/decision/sim.go
+++ b/proving/decision/sim.go
@@ -188,7 +188,7 @@
 // throttle is what a run may use of its processors, in percent.
 func (s *sim) throttle(w *fakeWorker, r *fakeRun) int {
 	if s.column.noThrottle {
-		return remedy.Full
+		return remedy.Unthrottled
 	}
 	return w.remedy.Throttle(r.load.Name)
 }
--- a/proving/fleet/books.go
+++ b/proving/fleet/books.go
@@ -179,7 +179,7 @@
 
 // has reports whether a task is one of the job's.
 func (e *entry) has(id job.TaskID) bool {
-	return id.Time == 0 && id.Step < len(e.spec.Steps) && id.Index < e.spec.Steps[id.Step].Count
+	return id.Iteration == 0 && id.Step < len(e.spec.Steps) && id.Index < e.spec.Steps[id.Step].Count
 }
 
 // started judges a start that a worker accepted.
--- a/proving/fleet/caller.go
+++ b/proving/fleet/caller.go
@@ -206,7 +206,7 @@
 	for _, s := range spec.Steps {
 		steps = append(steps, map[string]any{
 			"count": s.Count, "cpu": s.Size.CPU, "mem-mb": s.Size.Memory, "estimate-ms": s.Estimate.Milliseconds(), "depends-on": s.DependsOn,
-			"long-running": s.Lasting,
+			"long-running": s.LongRunning,
 		})
 	}
 	return map[string]any{"spec": spec.Text, "steps": steps}
--- a/proving/fleet/life.go
+++ b/proving/fleet/life.go
@@ -73,7 +73,7 @@
 func (l *life) used() job.Size {
 	var used job.Size
 	for _, r := range l.running {
-		used = used.Plus(r.step.Room())
+		used = used.Plus(r.step.Reservation())
 	}
 	return used
 }
@@ -103,7 +103,7 @@
 
 // progress returns how far a run is in percent; what lasts is at work at once.
 func (r *run) progress() int {
-	if r.step.Lasting || r.step.Estimate == 0 {
+	if r.step.LongRunning || r.step.Estimate == 0 {
 		return 100
 	}
 	return 100 - int(100*r.left/r.step.Estimate)
--- a/proving/fleet/power_test.go
+++ b/proving/fleet/power_test.go
@@ -21,7 +21,7 @@
 	}
 	c := NewCaller(f, 1)
 	step := demoStep(3, time.Second)
-	step.Lasting = true
+	step.LongRunning = true
 	lasting := c.submit(job.Spec{Text: "work=1s", Steps: []job.Step{step}})
 	assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(lasting) }))
 	runs := func() bool { return f.books.running(lasting, 0) == step.Count }
--- a/proving/fleet/return_test.go
+++ b/proving/fleet/return_test.go
@@ -32,7 +32,7 @@
 	}
 	c := NewCaller(f, 1)
 	step := demoStep(6, time.Second)
-	step.Lasting = true
+	step.LongRunning = true
 	id := c.submit(job.Spec{Text: "work=1s", Steps: []job.Step{step}})
 	assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(id) }))
 	runs := func() bool { return f.books.running(id, 0) == step.Count }
--- a/proving/fleet/worker.go
+++ b/proving/fleet/worker.go
@@ -193,7 +193,7 @@
 		switch {
 		case over:
 			w.end(id, job.EndLapsed)
-		case r.left <= 0 && !r.step.Lasting:
+		case r.left <= 0 && !r.step.LongRunning:
 			w.end(id, job.EndDone)
 		}
 	}
