--- a/internal/plan/candidates.go
+++ b/internal/plan/candidates.go
@@ -1,48 +1,49 @@
 package plan
 
-// offers are what a task of a group would cost on each worker; a placement changes the cost of its worker only.
-type offers struct {
+// candidates holds the cost of a task of one group on each worker; a placement changes only the cost of its worker.
+type candidates struct {
 	planner *Planner
 	group   *Group
 	workers []*Worker
-	// costs are those of the workers, in their order; may says which of them may take a task.
-	costs []float64
-	may   []bool
+	// costs has the cost for each worker, in the order of workers; eligible reports whether the worker can take a
+	// task.
+	costs    []float64
+	eligible []bool
 }
 
-// offers reckons the costs of all workers.
-func (p *Planner) offers(workers []*Worker, g *Group) *offers {
-	o := &offers{planner: p, group: g, workers: workers, costs: make([]float64, len(workers)), may: make([]bool, len(workers))}
+// candidates returns the workers with their costs for a task of the group.
+func (p *Planner) candidates(workers []*Worker, g *Group) *candidates {
+	c := &candidates{planner: p, group: g, workers: workers, costs: make([]float64, len(workers)), eligible: make([]bool, len(workers))}
 	for i := range workers {
-		o.reckon(i)
+		c.update(i)
 	}
-	return o
+	return c
 }
 
-// reckon reckons the cost of one worker.
-func (o *offers) reckon(i int) {
-	o.may[i] = false
-	if w := o.workers[i]; w.admits(o.group) {
-		o.costs[i], o.may[i] = o.planner.costOf(w, o.group)
+// update recomputes the cost on the worker with index i.
+func (c *candidates) update(i int) {
+	c.eligible[i] = false
+	if w := c.workers[i]; w.admits(c.group) {
+		c.costs[i], c.eligible[i] = c.planner.costOf(w, c.group)
 	}
 }
 
-// renew reckons the cost of a worker again.
-func (o *offers) renew(w *Worker) {
-	for i := range o.workers {
-		if o.workers[i] == w {
-			o.reckon(i)
+// updateWorker recomputes the cost on w.
+func (c *candidates) updateWorker(w *Worker) {
+	for i := range c.workers {
+		if c.workers[i] == w {
+			c.update(i)
 		}
 	}
 }
 
-// best returns the worker that suits a task of the group best, nil where none may take it.
-func (o *offers) best() *Worker {
+// best returns the eligible worker with the lowest cost, or nil.
+func (c *candidates) best() *Worker {
 	var chosen *Worker
 	var lowest float64
-	for i, w := range o.workers {
-		if o.may[i] && (chosen == nil || o.costs[i] < lowest) {
-			chosen, lowest = w, o.costs[i]
+	for i, w := range c.workers {
+		if c.eligible[i] && (chosen == nil || c.costs[i] < lowest) {
+			chosen, lowest = w, c.costs[i]
 		}
 	}
 	return chosen
--- a/internal/plan/cost.go
+++ b/internal/plan/cost.go
@@ -6,36 +6,38 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// mostHarm is the part of the worth of a task's work that the harm to serving tasks may eat up where it is placed: what
-// does more harm is paced down before long, and keeps its memory from others meanwhile.
-const mostHarm = 0.3
+// maxViolationShare is the part of a best-effort task's value that the expected target violations may cost on its
+// worker. A task that costs more would soon be throttled and would meanwhile keep its memory from others.
+const maxViolationShare = 0.3
 
-// lenientHarm is how much of the worth the harm may eat up besides where batch is starved altogether.
-const lenientHarm = 0.6
+// backlogViolationShare is added to maxViolationShare in proportion to the batch backlog.
+const backlogViolationShare = 0.6
 
-// gain returns what a filling task is worth on a worker beyond the harm that it does there, and whether it suits.
-func (p *Planner) gain(w *Worker, g *Group) (float64, bool) {
-	worth := w.share(g.Step.Size.CPU) / pressure.ViolationCost
-	harm := w.harm(g.Step, p.pressure)
+// netValue returns the value of a best-effort task on a worker minus the expected target violations, and whether the
+// worker is suitable for it.
+func (p *Planner) netValue(w *Worker, g *Group) (float64, bool) {
+	value := w.share(g.Step.Size.CPU) / pressure.ViolationCost
+	violations := w.addedViolations(g.Step, p.pressure)
 	crowded := w.Spare() < g.Step.Size.CPU && w.BestEffortCPU > 0
-	return worth - harm, harm <= (mostHarm+lenientHarm*p.starved)*worth && !crowded
+	return value - violations, violations <= (maxViolationShare+backlogViolationShare*p.backlog)*value && !crowded
 }
 
-// Weights of a placement's cost, in shares of a worker's processors: what is avoided goes last of all, data that
-// lies elsewhere costs more than any crowding, and the gain of a task that fills over the harm that it does goes before that.
-// Serving tasks of one image suffer from the same neighbors, so they are packed onto the same workers: what fills harms few
-// of them then, and finds workers that it does not harm.
+// Weights of a placement's cost, in shares of a worker's processors. Avoided workers come last, remote data costs more
+// than any load difference, and the net value of a best-effort task comes before either. Serving tasks of one image
+// suffer from the same neighbors, so they are packed onto the same workers: then best-effort tasks slow few of them
+// and still find workers where they slow none.
 const (
-	avoidedCost = 10.0
-	farCost     = 2.0
-	gainWeight  = 2.0
-	clashCost   = 2.0
-	emptyCost   = 0.5
-	// fillingWeight is what a share in use by what fills counts beside one that is taken, for tasks that do not serve.
-	fillingWeight = 0.25
+	avoidedWorkerCost = 10.0
+	remoteDataCost    = 2.0
+	netValueWeight    = 2.0
+	conflictCost      = 2.0
+	emptyWorkerCost   = 0.5
+	// bestEffortWeight is the weight of CPU in use by best-effort tasks relative to reserved CPU, for tasks without a
+	// latency target.
+	bestEffortWeight = 0.25
 )
 
-// costOf returns what a task of the group costs on the worker, and whether it would get anything at all there.
+// costOf returns the cost of a task of the group on the worker, and whether the task could make progress there.
 func (p *Planner) costOf(w *Worker, g *Group) (float64, bool) {
 	if w.Capacity.CPU == 0 {
 		return 0, false
@@ -43,25 +45,25 @@
 	var cost float64
 	switch {
 	case g.Step.BestEffort:
-		gain, suits := p.gain(w, g)
-		if !g.Starved && !suits {
+		netValue, suitable := p.netValue(w, g)
+		if !g.Starved && !suitable {
 			return 0, false
 		}
-		cost = 1 - w.share(w.Spare()) - gainWeight*gain
+		cost = 1 - w.share(w.Spare()) - netValueWeight*netValue
 	case g.Step.Serves():
 		cost = 1 - w.share(w.Used.CPU)
 		if w.ServingCPU == 0 {
-			cost += emptyCost
+			cost += emptyWorkerCost
 		}
-		cost += clashCost * w.clash(g.Step.Image, p.pressure)
+		cost += conflictCost * w.conflict(g.Step.Image, p.pressure)
 	default:
-		cost = w.share(w.Used.CPU) + fillingWeight*w.share(w.BestEffortCPU)
+		cost = w.share(w.Used.CPU) + bestEffortWeight*w.share(w.BestEffortCPU)
 	}
 	if g.Avoid[w.Host] {
-		cost += avoidedCost
+		cost += avoidedWorkerCost
 	}
 	if g.Step.Affinity != "" && !slices.Contains(w.Labels, g.Step.Affinity) {
-		cost += farCost
+		cost += remoteDataCost
 	}
 	return cost, true
 }
--- a/internal/plan/doc.go
+++ b/internal/plan/doc.go
@@ -1,2 +1,2 @@
-// Package plan decides which waiting tasks go to which workers; it knows no clock, socket or random source.
+// Package plan decides which waiting tasks go to which workers. It uses no clock, socket or random source.
 package plan
--- a/internal/plan/gang.go
+++ b/internal/plan/gang.go
@@ -12,34 +12,35 @@
 		return nil
 	}
 	for _, candidates := range racks(p.workers, g.Step) {
-		if placed := p.gangOn(candidates, g); placed != nil {
+		if placed := p.placeGangOn(candidates, g); placed != nil {
 			return placed
 		}
 	}
 	return nil
 }
 
-func (p *Planner) gangOn(workers []*Worker, g *Group) []Placement {
+func (p *Planner) placeGangOn(workers []*Worker, g *Group) []Placement {
 	run := g.Job.NextGangRun(g.Time, g.StepIndex)
 	var placed []Placement
-	var taken []*Worker
-	offers := p.offers(workers, g)
+	var used []*Worker
+	candidates := p.candidates(workers, g)
 	for _, i := range g.Indexes {
-		w := offers.best()
+		w := candidates.best()
 		if w == nil {
-			for _, t := range taken {
-				p.giveBack(t, g)
+			for _, t := range used {
+				p.undo(t, g)
 			}
 			return nil
 		}
-		taken = append(taken, w)
-		placed = append(placed, p.take(w, g, i, run))
-		offers.renew(w)
+		used = append(used, w)
+		placed = append(placed, p.place(w, g, i, run))
+		candidates.updateWorker(w)
 	}
 	return placed
 }
 
-// racks returns the sets of workers to try for a gang: each rack by itself where that matters, then all.
+// racks returns the sets of workers to try for a gang: each rack by itself if the step needs a single rack, then all
+// workers.
 func racks(workers []*Worker, step *job.Step) [][]*Worker {
 	var sets [][]*Worker
 	if step.SameRack {
@@ -60,7 +61,7 @@
 	return append(sets, workers)
 }
 
-// rack returns the label that names the rack, which comes after the kind.
+// rack returns the second label, which names the rack; the first names the kind of worker.
 func (w *Worker) rack() string {
 	if len(w.Labels) < 2 {
 		return ""
--- a/internal/plan/group.go
+++ b/internal/plan/group.go
@@ -7,30 +7,31 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// Group is the waiting tasks of one step of one time of a job.
+// Group is the waiting tasks of one step in one iteration of a job.
 type Group struct {
 	Job       *job.Job
 	Time      int
 	StepIndex int
 	Step      *job.Step
 	Service   string
-	// Indexes are the tasks that wait; Held counts the step's tasks on each worker.
+	// Indexes are the waiting tasks; TasksByWorker counts the tasks of the step on each worker.
 	Indexes       []int
 	TasksByWorker map[job.Host]int
-	// Avoid names workers on which a task of the group failed or was rejected a moment ago.
+	// Avoid contains the workers on which a task of the group recently failed or was rejected.
 	Avoid map[job.Host]bool
-	// Tickets are the workers that may run the step at all, with what a start there brings; nil where all may.
+	// Tickets maps each worker that may run the step to the ticket that a start there carries; nil allows all workers.
 	Tickets map[job.Host]string
-	// SuspectScore is how much is held against the tasks for crashes of workers, 0 where they may start beside others.
+	// SuspectScore counts the worker crashes attributed to the tasks; with 0 they may start beside other tasks.
 	SuspectScore int
-	// Starved says that nothing of the job runs; then one task is placed even where it presses on what serves.
+	// Starved is set if no task of the job runs; then one task is placed even where it makes serving tasks violate
+	// their targets.
 	Starved bool
-	// Priority 0 goes first. Slack is the time left before the objective is missed if all goes well from now on,
-	// Late the same before nothing is earned at all.
+	// Priority 0 is the highest. Slack is the time until the job can no longer meet its objective, CutoffSlack the
+	// time until it no longer earns anything.
 	Priority    int
 	Slack       time.Duration
 	CutoffSlack time.Duration
-	// Work is what is left of the job's time, in core seconds by its estimates.
+	// Work is the remaining work of the job in core seconds, by its estimates.
 	Work float64
 }
 
@@ -38,49 +39,49 @@
 type urgency int
 
 const (
-	// shortWork neither lasts nor fills, and can still earn something.
+	// shortWork is neither long-running nor best-effort, and can still earn something.
 	shortWork urgency = iota
-	// lastingWork is what lasts, and short work that is far too late.
-	lastingWork
-	// batchInTime, batchLate and batchTooLate are work that fills: it can still meet its objective, still earn something,
-	// or neither.
-	batchInTime
-	batchLate
-	batchTooLate
+	// longRunningWork is long-running, or short work that can no longer earn anything.
+	longRunningWork
+	// bestEffortInTime can still meet its objective, bestEffortLate can still earn something, and bestEffortExpired
+	// can do neither.
+	bestEffortInTime
+	bestEffortLate
+	bestEffortExpired
 )
 
-// urgency returns how urgent the group is.
+// urgency returns the urgency of the group.
 func (g *Group) urgency() urgency {
 	switch {
 	case g.Step.LongRunning:
-		return lastingWork
+		return longRunningWork
 	case !g.Step.BestEffort && g.CutoffSlack > 0:
 		return shortWork
 	case !g.Step.BestEffort:
-		return lastingWork
+		return longRunningWork
 	case g.CutoffSlack <= 0:
-		return batchTooLate
+		return bestEffortExpired
 	case g.Slack <= 0:
-		return batchLate
+		return bestEffortLate
 	}
-	return batchInTime
+	return bestEffortInTime
 }
 
-// order puts the batch jobs with the least work left first: under more work than can be done in time, that is what most
-// of them come in time by.
-func (g *Group) order() float64 {
+// remainingWork orders best-effort jobs by the least work left: under overload this order lets the most jobs finish in
+// time.
+func (g *Group) remainingWork() float64 {
 	if !g.Step.BestEffort {
 		return 0
 	}
 	return g.Work
 }
 
-func before(a, b *Group) int {
+func compareGroups(a, b *Group) int {
 	return cmp.Or(
 		cmp.Compare(b.SuspectScore, a.SuspectScore),
 		cmp.Compare(a.urgency(), b.urgency()),
 		cmp.Compare(a.Priority, b.Priority),
-		cmp.Compare(a.order(), b.order()),
+		cmp.Compare(a.remainingWork(), b.remainingWork()),
 		cmp.Compare(a.Slack, b.Slack),
 		cmp.Compare(a.Job.ID(), b.Job.ID()),
 		cmp.Compare(a.Time, b.Time),
@@ -88,23 +89,23 @@
 	)
 }
 
-// giveBack undoes take.
-func (g *Group) giveBack(w *Worker) {
+// undo reverts place.
+func (g *Group) undo(w *Worker) {
 	w.Release(g.Step)
 	if w.Trials >= 0 {
 		w.Trials++
 	}
 	g.TasksByWorker[w.Host]--
-	w.unprove(g)
+	w.removeStarting(g)
 }
 
-func (g *Group) take(w *Worker, index, run int) Placement {
+func (g *Group) place(w *Worker, index, run int) Placement {
 	w.Allocate(g.Step)
 	if w.Trials > 0 {
 		w.Trials--
 	}
 	g.TasksByWorker[w.Host]++
-	w.prove(g)
+	w.addStarting(g)
 	id := job.TaskID{Job: g.Job.ID(), Iteration: g.Time, Step: g.StepIndex, Index: index}
 	return Placement{Task: id, Step: g.Step, Host: w.Host, Run: run, Suspect: g.SuspectScore > 0}
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -17,24 +17,24 @@
 	"github.com/saffronpulley/saffronpulley/internal/scripttest"
 )
 
-// pairs is a pressure by "serving/filling".
+// pairs is a PressureModel with weights by "serving/best-effort" and conflicts by "a|b".
 type pairs map[string]float64
 
-// Weight implements Pressure.
-func (p pairs) Weight(serving, filling string) (float64, float64) { return p[serving+"/"+filling], 0 }
+// Weight implements PressureModel.
+func (p pairs) Weight(serving, other string) (float64, float64) { return p[serving+"/"+other], 0 }
 
-// Conflict implements Pressure: images are alike, or not known to be.
+// Conflict implements PressureModel; pairs that are not listed have the default of 0.5.
 func (p pairs) Conflict(a, b string) float64 {
 	if a == b {
 		return 0
 	}
-	if clash, known := p[a+"|"+b]; known {
-		return clash
+	if conflict, known := p[a+"|"+b]; known {
+		return conflict
 	}
 	return 0.5
 }
 
-// TestScripts plans what the archives describe and compares the placements.
+// TestScripts compares the placements for the inputs in the archives.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, archive *txtar.Archive) {
 		var workers []*Worker
@@ -51,7 +51,7 @@
 			case "pressure":
 				for _, line := range lines {
 					words := strings.Fields(line)
-					weights[words[0]] = decimal(t, words[1])
+					weights[words[0]] = parseFloat(t, words[1])
 				}
 			case "placed":
 				want = strings.TrimSpace(string(f.Data))
@@ -73,7 +73,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func decimal(t *testing.T, text string) float64 {
+func parseFloat(t *testing.T, text string) float64 {
 	t.Helper()
 	value, err := strconv.ParseFloat(text, 64)
 	assert.NilError(t, err)
@@ -91,30 +91,30 @@
 			name, value, _ := strings.Cut(word, "=")
 			switch name {
 			case "cpu":
-				w.Capacity.CPU = int(decimal(t, value))
+				w.Capacity.CPU = int(parseFloat(t, value))
 			case "memory":
-				w.Capacity.Memory = int(decimal(t, value))
+				w.Capacity.Memory = int(parseFloat(t, value))
 			case "labels":
 				w.Labels = strings.Split(value, ",")
 			case "used":
-				w.Used.CPU = int(decimal(t, value))
+				w.Used.CPU = int(parseFloat(t, value))
 			case "serves":
 				image, headroom, _ := strings.Cut(value, ":")
-				w.ServingTasks = append(w.ServingTasks, ServingTask{Image: image, Headroom: decimal(t, headroom), Deviation: 0.3})
+				w.ServingTasks = append(w.ServingTasks, ServingTask{Image: image, Headroom: parseFloat(t, headroom), Deviation: 0.3})
 			case "pressed":
 				w.BestEffortBlocked = true
 			case "closed":
 				w.Schedulable = false
 			case "unproven":
-				w.Starting = int(decimal(t, value))
+				w.Starting = int(parseFloat(t, value))
 			case "reserved":
 				w.Starting, w.SuspectStarting = 1, true
 			case "kept":
 				w.ReservedForSuspect = true
 			case "trials":
-				w.Trials = int(decimal(t, value))
+				w.Trials = int(parseFloat(t, value))
 			default:
-				t.Fatalf("%s: what is %s?", line, name)
+				t.Fatalf("%s: unknown word %s", line, name)
 			}
 		}
 		workers = append(workers, w)
@@ -134,11 +134,11 @@
 			name, value, _ := strings.Cut(word, "=")
 			switch name {
 			case "count":
-				step.Count = int(decimal(t, value))
+				step.Count = int(parseFloat(t, value))
 			case "cpu":
-				step.Size.CPU = int(decimal(t, value))
+				step.Size.CPU = int(parseFloat(t, value))
 			case "memory":
-				step.Size.Memory = int(decimal(t, value))
+				step.Size.Memory = int(parseFloat(t, value))
 			case "fills":
 				step.BestEffort = true
 			case "gang":
@@ -148,7 +148,7 @@
 			case "lasting":
 				step.LongRunning = true
 			case "target":
-				step.Target = time.Duration(decimal(t, value) * float64(time.Millisecond))
+				step.Target = time.Duration(parseFloat(t, value) * float64(time.Millisecond))
 			case "image":
 				step.Image = value
 			case "requires":
@@ -156,21 +156,21 @@
 			case "affinity":
 				step.Affinity = value
 			case "apart":
-				step.AntiAffinity = int(decimal(t, value))
+				step.AntiAffinity = int(parseFloat(t, value))
 			case "slack":
-				g.Slack = time.Duration(decimal(t, value) * float64(time.Second))
+				g.Slack = time.Duration(parseFloat(t, value) * float64(time.Second))
 			case "late":
-				g.CutoffSlack = time.Duration(decimal(t, value) * float64(time.Second))
+				g.CutoffSlack = time.Duration(parseFloat(t, value) * float64(time.Second))
 			case "work":
-				g.Work = decimal(t, value)
+				g.Work = parseFloat(t, value)
 			case "priority":
-				g.Priority = int(decimal(t, value))
+				g.Priority = int(parseFloat(t, value))
 			case "starved":
 				g.Starved = true
 			case "suspect":
-				g.SuspectScore = int(decimal(t, value))
+				g.SuspectScore = int(parseFloat(t, value))
 			default:
-				t.Fatalf("%s: what is %s?", line, name)
+				t.Fatalf("%s: unknown word %s", line, name)
 			}
 		}
 		id := job.ID(strings.Repeat("0", 16-len(words[0])) + words[0])
@@ -184,8 +184,8 @@
 	return groups
 }
 
-// drawPlan draws workers and what waits for them.
-func drawPlan(t *rapid.T) ([]*Worker, []*Group) {
+// drawInputs draws workers and waiting groups.
+func drawInputs(t *rapid.T) ([]*Worker, []*Group) {
 	var workers []*Worker
 	for i := range rapid.IntRange(1, 5).Draw(t, "workers") {
 		workers = append(workers, &Worker{
@@ -197,7 +197,7 @@
 	for i := range rapid.IntRange(1, 6).Draw(t, "groups") {
 		step := job.Step{
 			Count: rapid.IntRange(1, 6).Draw(t, "count"), Gang: rapid.Bool().Draw(t, "gang"), BestEffort: rapid.Bool().Draw(t, "fills"),
-			Size:         job.Size{CPU: rapid.IntRange(0, 4).Draw(t, "asked cpu") * 1000, Memory: rapid.IntRange(0, 4).Draw(t, "asked memory") * 1000},
+			Size:         job.Size{CPU: rapid.IntRange(0, 4).Draw(t, "requested cpu") * 1000, Memory: rapid.IntRange(0, 4).Draw(t, "requested memory") * 1000},
 			AntiAffinity: rapid.IntRange(0, 2).Draw(t, "apart"), SameRack: rapid.Bool().Draw(t, "same rack"),
 		}
 		j := job.New(job.ID(fmt.Sprintf("%016x", i)), job.Spec{Steps: []job.Step{step}}, job.Queue{}, time.Unix(1, 0))
@@ -210,55 +210,57 @@
 	return workers, groups
 }
 
-// TestStrangersChangeNoPlan: workers of another service, and such as are not open, whatever else they say, leave each placement as it is.
-func TestStrangersChangeNoPlan(t *testing.T) {
+// TestUnschedulableWorkersChangeNoPlan guards against workers of another service, or unschedulable ones, that change a
+// placement by their other fields.
+func TestUnschedulableWorkersChangeNoPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workers, groups := drawPlan(t)
-		var mixed []*Worker
+		workers, groups := drawInputs(t)
+		var withUnrelated []*Worker
 		for _, w := range workers {
-			for range rapid.IntRange(0, 2).Draw(t, "strangers") {
-				stranger := &Worker{
-					Host: job.Host{VM: fmt.Sprintf("%s-%d", w.Host.VM, len(mixed))}, Trials: -1, Schedulable: rapid.Bool().Draw(t, "open"),
-					Capacity: job.Size{CPU: rapid.IntRange(-9, 99).Draw(t, "stranger's cpu") * 1000, Memory: 99000},
+			for range rapid.IntRange(0, 2).Draw(t, "unrelated") {
+				unrelated := &Worker{
+					Host: job.Host{VM: fmt.Sprintf("%s-%d", w.Host.VM, len(withUnrelated))}, Trials: -1, Schedulable: rapid.Bool().Draw(t, "open"),
+					Capacity: job.Size{CPU: rapid.IntRange(-9, 99).Draw(t, "unrelated cpu") * 1000, Memory: 99000},
 				}
-				if !stranger.Schedulable {
-					stranger.Service = "s"
+				if !unrelated.Schedulable {
+					unrelated.Service = "s"
 				}
-				mixed = append(mixed, stranger)
+				withUnrelated = append(withUnrelated, unrelated)
 			}
 			copied := *w
-			mixed = append(mixed, &copied)
+			withUnrelated = append(withUnrelated, &copied)
 		}
-		again := make([]*Group, len(groups))
+		copies := make([]*Group, len(groups))
 		for i, g := range groups {
 			copied := *g
 			copied.TasksByWorker = map[job.Host]int{}
-			again[i] = &copied
+			copies[i] = &copied
 		}
-		want := describe(New(workers, pairs{}).Place(again))
-		if got := describe(New(mixed, pairs{}).Place(groups)); got != want {
-			t.Fatalf("with strangers\n%s\nwithout\n%s", got, want)
+		want := describe(New(workers, pairs{}).Place(copies))
+		if got := describe(New(withUnrelated, pairs{}).Place(groups)); got != want {
+			t.Fatalf("with unrelated workers\n%s\nwithout\n%s", got, want)
 		}
 	})
 }
 
-// TestNeverBeyondRoom draws plans and checks that no worker is given more than it has, and gangs whole or not at all.
-func TestNeverBeyondRoom(t *testing.T) {
+// TestPlanRespectsCapacityAndGangs checks that no worker is given more than its capacity and that gangs are placed
+// whole or not at all.
+func TestPlanRespectsCapacityAndGangs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workers, groups := drawPlan(t)
+		workers, groups := drawInputs(t)
 		placed := New(workers, pairs{}).Place(groups)
-		used, held, members := make(map[job.Host]job.Size), make(map[string]int), make(map[job.ID]int)
+		used, tasksByWorker, members := make(map[job.Host]job.Size), make(map[string]int), make(map[job.ID]int)
 		for _, p := range placed {
 			used[p.Host] = used[p.Host].Plus(p.Step.Reservation())
-			held[p.Host.VM+string(p.Task.Job)]++
+			tasksByWorker[p.Host.VM+string(p.Task.Job)]++
 			members[p.Task.Job]++
-			if p.Step.AntiAffinity > 0 && held[p.Host.VM+string(p.Task.Job)] > p.Step.AntiAffinity {
-				t.Fatalf("%v goes beyond its anti-affinity", p.Task)
+			if p.Step.AntiAffinity > 0 && tasksByWorker[p.Host.VM+string(p.Task.Job)] > p.Step.AntiAffinity {
+				t.Fatalf("%v exceeds its anti-affinity", p.Task)
 			}
 		}
 		for _, w := range workers {
 			if !used[w.Host].Fits(w.Capacity) {
-				t.Fatalf("%v of %v is given", used[w.Host], w.Capacity)
+				t.Fatalf("%v of %v is allocated", used[w.Host], w.Capacity)
 			}
 		}
 		for _, g := range groups {
@@ -269,7 +271,7 @@
 	})
 }
 
-func TestOrderDoesNotHangOnTheOrderOfInput(t *testing.T) {
+func TestPlanIsIndependentOfInputOrder(t *testing.T) {
 	lines := []string{"1 cpu=1 slack=2", "2 fills cpu=1 image=x", "3 lasting cpu=1", "4 cpu=1 slack=1", "5 fills cpu=1 slack=-1", "6 fills cpu=1 late=-1"}
 	workers := func() []*Worker { return parseWorkers(t, []string{"a cpu=1000 memory=10"}) }
 	want := describe(New(workers(), pairs{}).Place(parseGroups(t, lines)))
@@ -278,8 +280,8 @@
 	assert.Equal(t, want, "4.0 a\n1.0 a\n3.0 a\n2.0 a\n5.0 a\n6.0 a")
 }
 
-// TestGangThatIsGivenBackCostsNoTrial failed with a trial used up by a gang that was not placed.
-func TestGangThatIsGivenBackCostsNoTrial(t *testing.T) {
+// TestUnplacedGangKeepsTrials guards against a gang that uses up a trial although it was not placed.
+func TestUnplacedGangKeepsTrials(t *testing.T) {
 	workers := parseWorkers(t, []string{"a cpu=4000 memory=1000 trials=1"})
 	assert.Equal(t, len(New(workers, pairs{}).Place(parseGroups(t, []string{"1 gang count=2 cpu=1000"}))), 0)
 	assert.Equal(t, workers[0].Trials, 1)
--- a/internal/plan/serving.go
+++ b/internal/plan/serving.go
@@ -6,46 +6,50 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// PressureModel tells what was learned of the images.
+// PressureModel provides the learned interference between images.
 type PressureModel interface {
-	// Weight tells by how much a filling image lowers the headroom of a serving one where it uses a whole worker.
-	Weight(serving, filling string) (weight, deviation float64)
-	// Conflict tells how differently two serving images suffer from what fills, from 0 to 1.
+	// Weight returns the loss of headroom that a best-effort image causes to a serving image if it uses a whole
+	// worker, and its standard deviation.
+	Weight(serving, bestEffort string) (weight, deviation float64)
+	// Conflict returns how much the interference on two serving images differs, from 0 to 1.
 	Conflict(a, b string) float64
 }
 
-// ServingTask is a task that serves users under a latency target.
+// ServingTask is a task with a latency target.
 type ServingTask struct {
 	Image string
-	// Headroom is its target over its tail, as package pressure has it, that is likely soon without what fills beside it,
-	// and Deviation the standard deviation of that.
+	// Headroom is the expected headroom (see package pressure) without best-effort neighbors, Deviation its standard
+	// deviation.
 	Headroom  float64
 	Deviation float64
-	// pressed is by how much what fills lowers the headroom, doubt the variance of that.
-	pressed float64
-	doubt   float64
-	// over is how likely it is over its target as the plan stands; known says that this is up to date.
-	over  float64
-	known bool
+	// loss is the headroom lost to best-effort neighbors, lossVariance its variance.
+	loss         float64
+	lossVariance float64
+	// violation is the probability that the task violates its target under the current plan; it is valid while cached
+	// is set.
+	violation float64
+	cached    bool
 }
 
-// press counts a share of the worker that a filling image of some weight gains, or loses where the share is negative.
-func (s *ServingTask) press(weight, deviation, share float64) {
-	s.known = false
-	s.pressed += weight * share
-	s.doubt = max(s.doubt+deviation*deviation*share*math.Abs(share), 0)
+// addInterference adds the interference of a best-effort image that uses share of the worker; a negative share removes
+// it.
+func (s *ServingTask) addInterference(weight, deviation, share float64) {
+	s.cached = false
+	s.loss += weight * share
+	s.lossVariance = max(s.lossVariance+deviation*deviation*share*math.Abs(share), 0)
 }
 
-// chanceNow returns how likely the task is over its target as the plan stands.
-func (s *ServingTask) chanceNow() float64 {
-	if !s.known {
-		s.over, s.known = s.chance(0, 0), true
+// violationProbability returns the probability that the task violates its target under the current plan.
+func (s *ServingTask) violationProbability() float64 {
+	if !s.cached {
+		s.violation, s.cached = s.violationProbabilityWith(0, 0), true
 	}
-	return s.over
+	return s.violation
 }
 
-// chance returns how likely the task is over its target with some more pressure and doubt.
-func (s *ServingTask) chance(pressed, doubt float64) float64 {
-	deviation := math.Sqrt(s.Deviation*s.Deviation + s.doubt + doubt)
-	return pressure.ViolationProbability(s.Headroom-s.pressed-pressed, deviation)
+// violationProbabilityWith returns the probability that the task violates its target with an additional loss of
+// headroom.
+func (s *ServingTask) violationProbabilityWith(loss, lossVariance float64) float64 {
+	deviation := math.Sqrt(s.Deviation*s.Deviation + s.lossVariance + lossVariance)
+	return pressure.ViolationProbability(s.Headroom-s.loss-loss, deviation)
 }
--- a/internal/plan/suspect.go
+++ b/internal/plan/suspect.go
@@ -1,14 +1,14 @@
 package plan
 
-// mayProve reports whether a group may start here by what has not outlived its start on the worker. A suspect starts where
-// nothing else has just begun, and nothing starts beside it before it has outlived its start: so a crash tells whether it is
-// the cause, and takes no other new work along.
-func (w *Worker) mayProve(g *Group) bool {
+// mayStart reports whether a task of the group may start beside the runs that are still starting on the worker. A
+// suspect starts only where nothing else is starting, and nothing starts beside it before it has survived startup. A
+// crash then shows whether the suspect is the cause, and ends no other new run.
+func (w *Worker) mayStart(g *Group) bool {
 	switch {
-	case w.prover != nil && w.prover == g:
+	case w.suspectGroup != nil && w.suspectGroup == g:
 		// The members of a gang start together.
 		return g.Step.Gang
-	case w.prover != nil || w.SuspectStarting:
+	case w.suspectGroup != nil || w.SuspectStarting:
 		return false
 	case g.SuspectScore > 0:
 		return w.Starting == 0
@@ -16,18 +16,18 @@
 	return !w.ReservedForSuspect
 }
 
-// prove counts a task of a group as one that has not outlived its start here.
-func (w *Worker) prove(g *Group) {
+// addStarting counts a task of the group as starting on the worker.
+func (w *Worker) addStarting(g *Group) {
 	w.Starting++
 	if g.SuspectScore > 0 {
-		w.prover = g
+		w.suspectGroup = g
 	}
 }
 
-// unprove undoes prove.
-func (w *Worker) unprove(g *Group) {
+// removeStarting reverts addStarting.
+func (w *Worker) removeStarting(g *Group) {
 	w.Starting--
-	if w.prover == g && w.Starting == 0 {
-		w.prover = nil
+	if w.suspectGroup == g && w.Starting == 0 {
+		w.suspectGroup = nil
 	}
 }
--- a/internal/plan/worker.go
+++ b/internal/plan/worker.go
@@ -9,76 +9,79 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// servingShare is the part of a serving task's declared processors that it uses on average, as the users' sites draw it;
-// what is left is for the tasks that fill.
-const servingShare = 0.5
+// servingCPUShare is the part of its declared CPU that a serving task uses on average, by the load curves of the
+// users' sites; the rest is available to best-effort tasks.
+const servingCPUShare = 0.5
 
-// Unlimited stands for no bound on the tasks that may be placed on a worker.
+// Unlimited is the value of Worker.Trials without a bound.
 const Unlimited = -1
 
-// Worker is what a plan knows of a worker; a plan takes its choices into account.
+// Worker is the planner's view of a worker; it includes the placements of the current plan.
 type Worker struct {
 	Host     job.Host
 	Service  string
 	Labels   []string
 	Capacity job.Size
-	// Used is the room that is taken, also by what is being stopped.
+	// Used is the reserved capacity, including that of tasks being stopped.
 	Used job.Size
-	// ServingCPU and Filling are the declared thousandths of a core of the tasks that serve and that fill.
+	// ServingCPU and BestEffortCPU are the declared thousandths of a core of the serving and best-effort tasks.
 	ServingCPU    int
 	BestEffortCPU int
-	// Schedulable says that new tasks may be placed here; Trials bounds how many, AnyNumber for as many as fit.
+	// Schedulable is set if new tasks may be placed here; Trials bounds their number, Unlimited for as many as fit.
 	Schedulable bool
 	Trials      int
-	// HallClosed says that the operators want nothing new here.
+	// HallClosed is set if the operators have closed the worker's hall to new tasks.
 	HallClosed bool
-	// BestEffortBlocked says that a task here has been over its target for so long that nothing that fills may be added.
+	// BestEffortBlocked is set if a task here has violated its target for so long that no best-effort task may be
+	// added.
 	BestEffortBlocked bool
-	// Starting counts the runs here that have not outlived their start yet. Reserved says that one of them is of a suspect,
-	// beside which nothing may start, Kept that the next to start here is to be a suspect.
+	// Starting counts the runs that have not survived startup yet. SuspectStarting is set if one of them is a suspect,
+	// beside which nothing may start; ReservedForSuspect is set if only a suspect may start next.
 	Starting           int
 	SuspectStarting    bool
 	ReservedForSuspect bool
-	// prover is the group of suspects of which this plan has placed a task here.
-	prover *Group
-	// ServingTasks are the tasks that serve here, Fills what is asked by those that fill, in shares of the worker by image.
+	// suspectGroup is the group of suspects of which this plan has placed a task here.
+	suspectGroup *Group
+	// ServingTasks are the serving tasks here; Shares are the shares of the worker that best-effort tasks request, by
+	// image.
 	ServingTasks []ServingTask
 	Shares       map[string]float64
 	// Images counts the serving tasks by image.
 	Images map[string]int
 }
 
-// clash returns how much a serving image differs from the nearest image that serves here in what slows it, 0 where none
-// does. The nearest counts, since a worker of images that clash is spoiled for what fills already.
-func (w *Worker) clash(image string, weights PressureModel) float64 {
-	nearest := math.Inf(1)
+// conflict returns the lowest conflict between a serving image and those on the worker, 0 if there are none. The
+// lowest counts, since a worker with conflicting images already suits few best-effort tasks.
+func (w *Worker) conflict(image string, weights PressureModel) float64 {
+	lowest := math.Inf(1)
 	for other, count := range w.Images {
 		if count > 0 {
-			nearest = min(nearest, weights.Conflict(image, other))
+			lowest = min(lowest, weights.Conflict(image, other))
 		}
 	}
-	if math.IsInf(nearest, 1) {
+	if math.IsInf(lowest, 1) {
 		return 0
 	}
-	return nearest
+	return lowest
 }
 
-// Allocate counts a task as placed here.
+// Allocate adds a task to the worker.
 func (w *Worker) Allocate(s *job.Step) {
 	w.Used = w.Used.Plus(s.Reservation())
 	w.Count(s, s.Size.CPU, 1)
 }
 
-// Release counts a task as gone from here.
+// Release removes a task from the worker.
 func (w *Worker) Release(s *job.Step) {
 	w.Used = w.Used.Minus(s.Reservation())
 	w.Count(s, s.Size.CPU, -1)
 }
 
-// Reset forgets what serves and what fills here, so that it can be counted anew.
+// Reset clears the counts of serving and best-effort tasks.
 func (w *Worker) Reset() { w.ServingCPU, w.BestEffortCPU, w.Shares, w.Images = 0, 0, nil, nil }
 
-// Count counts tasks of a step, of so many thousandths of a core each, among what serves or fills; the number may be negative.
+// Count adds tasks of a step, with cpu thousandths of a core each, to the serving or best-effort counts; tasks may be
+// negative.
 func (w *Worker) Count(s *job.Step, cpu, tasks int) {
 	switch {
 	case s.BestEffort:
@@ -99,25 +102,25 @@
 // share returns thousandths of a core as a share of the worker.
 func (w *Worker) share(cpu int) float64 { return float64(cpu) / float64(max(w.Capacity.CPU, 1)) }
 
-// Free returns the room that is left.
+// Free returns the free capacity.
 func (w *Worker) Free() job.Size { return w.Capacity.Minus(w.Used) }
 
-// Spare returns the thousandths of a core that are likely left for what fills.
+// Spare returns the thousandths of a core that are expected to be available to best-effort tasks.
 func (w *Worker) Spare() int {
 	other := w.Used.CPU - w.ServingCPU
-	return w.Capacity.CPU - other - int(servingShare*float64(w.ServingCPU)) - w.BestEffortCPU
+	return w.Capacity.CPU - other - int(servingCPUShare*float64(w.ServingCPU)) - w.BestEffortCPU
 }
 
-// admits reports whether a task of the step may run here by its labels and room.
+// admits reports whether a task of the group may run here by its tickets, labels and reservation.
 func (w *Worker) admits(g *Group) bool {
 	step := g.Step
-	_, advised := g.Tickets[w.Host]
+	_, hasTicket := g.Tickets[w.Host]
 	switch {
-	case g.Tickets != nil && !advised:
+	case g.Tickets != nil && !hasTicket:
 		return false
 	case !w.Schedulable || w.HallClosed || w.Trials == 0 || w.Service != g.Service:
 		return false
-	case !w.mayProve(g):
+	case !w.mayStart(g):
 		return false
 	case step.Requires != "" && !slices.Contains(w.Labels, step.Requires):
 		return false
@@ -129,39 +132,40 @@
 	return step.Reservation().Fits(w.Free())
 }
 
-// leastPress is the loss of headroom below which a pair counts as harmless.
-const leastPress = 0.01
+// minLoss is the loss of headroom below which the interference of a pair is ignored.
+const minLoss = 0.01
 
-// harm returns how many more of the tasks that serve here are likely over their targets by a task of a step beside them.
-func (w *Worker) harm(step *job.Step, weights PressureModel) float64 {
+// addedViolations returns how many more serving tasks are expected to violate their targets beside a task of the step.
+func (w *Worker) addedViolations(step *job.Step, weights PressureModel) float64 {
 	total := 0.0
 	share := w.share(step.Size.CPU)
 	for i := range w.ServingTasks {
 		s := &w.ServingTasks[i]
 		weight, deviation := weights.Weight(s.Image, step.Image)
-		if weight*share < leastPress && deviation*share < leastPress {
+		if weight*share < minLoss && deviation*share < minLoss {
 			continue
 		}
-		more := deviation * share
-		total += max(s.chance(weight*share, more*more)-s.chanceNow(), 0)
+		added := deviation * share
+		total += max(s.violationProbabilityWith(weight*share, added*added)-s.violationProbability(), 0)
 	}
 	return total
 }
 
-// burden counts a share of the worker that a filling image gains or loses.
-func (w *Worker) burden(image string, share float64, weights PressureModel) {
+// addBestEffort adds the interference of a best-effort image that uses share of the worker; a negative share removes
+// it.
+func (w *Worker) addBestEffort(image string, share float64, weights PressureModel) {
 	for i := range w.ServingTasks {
 		weight, deviation := weights.Weight(w.ServingTasks[i].Image, image)
-		w.ServingTasks[i].press(weight, deviation, share)
+		w.ServingTasks[i].addInterference(weight, deviation, share)
 	}
 }
 
-// serve adds a task that will serve here, of which nothing is known but what fills beside it.
-func (w *Worker) serve(image string, weights PressureModel) {
+// addServing adds a serving task without measurements; its headroom is lowered by the best-effort tasks on the worker.
+func (w *Worker) addServing(image string, weights PressureModel) {
 	s := ServingTask{Image: image, Headroom: pressure.UnknownHeadroom, Deviation: pressure.UnknownDeviation}
-	for _, filling := range slices.Sorted(maps.Keys(w.Shares)) {
-		weight, deviation := weights.Weight(image, filling)
-		s.press(weight, deviation, w.Shares[filling])
+	for _, bestEffort := range slices.Sorted(maps.Keys(w.Shares)) {
+		weight, deviation := weights.Weight(image, bestEffort)
+		s.addInterference(weight, deviation, w.Shares[bestEffort])
 	}
 	w.ServingTasks = append(w.ServingTasks, s)
 }
