--- a/internal/pressure/conflict.go
+++ b/internal/pressure/conflict.go
@@ -3,18 +3,19 @@
 import "math"
 
 const (
-	// heavy bounds the weights that are compared: what is heavier is kept away all the same.
-	heavy = 6.0
-	// knownVariance is the variance up to which a weight counts as known.
-	knownVariance = 4.0
-	// enoughKnown is how many filling images must be known for both, for two serving images to be compared.
-	enoughKnown = 4
-	// unknownClash is taken of two images of which too little is known.
-	unknownClash = 0.5
+	// maxComparedWeight bounds the compared weights, since images with heavier ones are kept away in any case.
+	maxComparedWeight = 6.0
+	// maxKnownVariance is the variance up to which a weight counts as known.
+	maxKnownVariance = 4.0
+	// minKnownImages is the number of best-effort images that must be known for both serving images to compare them.
+	minKnownImages = 4
+	// unknownConflict is the conflict of two images with too few known weights.
+	unknownConflict = 0.5
 )
 
-// Conflict returns how differently two serving images suffer from what fills: 0 where the same images slow both, 1 where what
-// slows one spares the other. Images that clash leave no filling image that spares a worker of both.
+// Conflict returns how much the interference on two serving images differs: 0 if the same best-effort images slow
+// both, 1 if the ones that slow one do not slow the other. A worker with conflicting images suits no best-effort
+// image.
 func (m *Model) Conflict(a, b string) float64 {
 	if a == b {
 		return 0
@@ -22,20 +23,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f, g := m.filter(a), m.filter(b)
-	differ, whole, known := 0.0, 0.0, 0
+	difference, total, known := 0.0, 0.0, 0
 	for column := range len(m.columns) {
 		first, firstVariance := f.weight(column)
 		second, secondVariance := g.weight(column)
-		if firstVariance > knownVariance || secondVariance > knownVariance {
+		if firstVariance > maxKnownVariance || secondVariance > maxKnownVariance {
 			continue
 		}
 		known++
-		first, second = min(first, heavy), min(second, heavy)
-		differ += math.Abs(first - second)
-		whole += max(first, second)
+		first, second = min(first, maxComparedWeight), min(second, maxComparedWeight)
+		difference += math.Abs(first - second)
+		total += max(first, second)
 	}
-	if known < enoughKnown || whole == 0 {
-		return unknownClash
+	if known < minKnownImages || total == 0 {
+		return unknownConflict
 	}
-	return differ / whole
+	return difference / total
 }
--- a/internal/pressure/doc.go
+++ b/internal/pressure/doc.go
@@ -1,3 +1,3 @@
-// Package pressure learns how much the tasks that fill a worker raise the tail latency of those that serve there, by pairs
-// of images; it is pure.
+// Package pressure learns by how much best-effort tasks raise the tail latency of serving tasks on the same worker,
+// for each pair of images. It has no side effects.
 package pressure
--- a/internal/pressure/filter.go
+++ b/internal/pressure/filter.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// filter is a Kalman filter for one serving image. Its state holds the weights of the filling images on it and the loads that
-// its tasks bear, so that what a figure tells is divided between both by how little each is known.
+// filter is a Kalman filter for one serving image. Its state holds the interference weights of the best-effort images
+// and the loads of the image's tasks, so that a measurement is divided between both by their uncertainty.
 type filter struct {
 	mean     []float64
 	variance [][]float64
-	// weights are the slots of the weights by the column of the filling image, loads the loads by name.
+	// weights maps the column of a best-effort image to the slot of its weight, loads contains the loads by name.
 	weights map[int]int
 	loads   map[string]*load
 }
 
-// factor is what a slot counts in a figure.
-type factor struct {
-	slot  int
-	times float64
+// coefficient is the factor of a slot in a measurement.
+type coefficient struct {
+	slot   int
+	factor float64
 }
 
 func newFilter() *filter { return &filter{weights: make(map[int]int), loads: make(map[string]*load)} }
 
-// grow adds a slot that nothing is known to go together with.
-func (f *filter) grow(mean, variance float64) int {
+// addSlot adds a slot without covariance with others and returns its index.
+func (f *filter) addSlot(mean, variance float64) int {
 	n := len(f.mean)
 	for i := range f.variance {
 		f.variance[i] = append(f.variance[i], 0)
@@ -36,8 +36,8 @@
 	return n
 }
 
-// drop removes a number of slots in a row.
-func (f *filter) drop(from, slots int) {
+// removeSlots removes consecutive slots.
+func (f *filter) removeSlots(from, slots int) {
 	f.mean = slices.Delete(f.mean, from, from+slots)
 	f.variance = slices.Delete(f.variance, from, from+slots)
 	for i := range f.variance {
@@ -55,11 +55,11 @@
 	}
 }
 
-// weightSlot returns the slot of the weight of a column, a new one for a column that was not beside the image yet.
+// weightSlot returns the slot of the weight of a column, and adds one for a new column.
 func (f *filter) weightSlot(column int) int {
 	slot, known := f.weights[column]
 	if !known {
-		slot = f.grow(PriorWeight, priorVariance)
+		slot = f.addSlot(PriorWeight, priorVariance)
 		f.weights[column] = slot
 	}
 	return slot
@@ -74,49 +74,49 @@
 	return max(f.mean[slot], 0), max(f.variance[slot][slot], 0)
 }
 
-// factors returns what the shares of the columns count in a figure.
-func (f *filter) factors(shares map[int]float64) []factor {
-	var factors []factor
+// coefficients returns the coefficients of the weights in a measurement, for the shares of the columns.
+func (f *filter) coefficients(shares map[int]float64) []coefficient {
+	var coefficients []coefficient
 	for column, share := range shares {
 		if share == 0 {
 			continue
 		}
-		factors = append(factors, factor{slot: f.weightSlot(column), times: -share})
+		coefficients = append(coefficients, coefficient{slot: f.weightSlot(column), factor: -share})
 	}
-	slices.SortFunc(factors, func(a, b factor) int { return a.slot - b.slot })
-	return factors
+	slices.SortFunc(coefficients, func(a, b coefficient) int { return a.slot - b.slot })
+	return coefficients
 }
 
-// pressed returns by how much the weights among the factors lower the headroom.
-func (f *filter) pressed(weights []factor) float64 {
-	pressed := 0.0
+// loss returns the loss of headroom by the weights among the coefficients.
+func (f *filter) loss(weights []coefficient) float64 {
+	loss := 0.0
 	for _, x := range weights {
-		pressed -= x.times * max(f.mean[x.slot], 0)
+		loss -= x.factor * max(f.mean[x.slot], 0)
 	}
-	return pressed
+	return loss
 }
 
-// spread returns the variance of a sum of slots.
-func (f *filter) spread(factors []factor) float64 {
+// sumVariance returns the variance of a sum of slots.
+func (f *filter) sumVariance(coefficients []coefficient) float64 {
 	sum := 0.0
-	for _, a := range factors {
-		for _, b := range factors {
-			sum += a.times * b.times * f.variance[a.slot][b.slot]
+	for _, a := range coefficients {
+		for _, b := range coefficients {
+			sum += a.factor * b.factor * f.variance[a.slot][b.slot]
 		}
 	}
 	return max(sum, 0)
 }
 
-// correct takes by how much a sum of slots was off what was predicted, with the whole variance of that difference.
-func (f *filter) correct(factors []factor, off, variance float64) {
+// correct updates the state by the innovation of a measurement, whose total variance is variance.
+func (f *filter) correct(coefficients []coefficient, innovation, variance float64) {
 	gain := make([]float64, len(f.mean))
 	for i := range gain {
-		for _, x := range factors {
-			gain[i] += f.variance[i][x.slot] * x.times
+		for _, x := range coefficients {
+			gain[i] += f.variance[i][x.slot] * x.factor
 		}
 	}
 	for i := range gain {
-		f.mean[i] += gain[i] / variance * off
+		f.mean[i] += gain[i] / variance * innovation
 		for j := range gain {
 			f.variance[i][j] -= gain[i] * gain[j] / variance
 		}
@@ -126,95 +126,95 @@
 	}
 }
 
-// loosen lets the weights among the factors change by a little.
-func (f *filter) loosen(factors []factor) {
-	for _, x := range factors {
-		f.variance[x.slot][x.slot] += drift
+// addDrift adds the drift of a sample to the variance of the weights.
+func (f *filter) addDrift(coefficients []coefficient) {
+	for _, x := range coefficients {
+		f.variance[x.slot][x.slot] += weightDrift
 	}
 }
 
-// load returns a load, brought to a time; nil where as many are followed as there may be.
-func (f *filter) load(name string, now time.Time, swing float64) *load {
+// load returns a load, advanced to now, or nil if maxLoads are tracked already.
+func (f *filter) load(name string, now time.Time, frequency float64) *load {
 	l := f.loads[name]
-	if l == nil || l.old(now) {
-		f.forgetOld(now)
-		if len(f.loads) >= mostLoads {
+	if l == nil || l.expired(now) {
+		f.removeExpired(now)
+		if len(f.loads) >= maxLoads {
 			return nil
 		}
 		l = f.newLoad(now)
 		f.loads[name] = l
 	}
-	f.advance(l, now, swing)
+	f.advance(l, now, frequency)
 	return l
 }
 
-// newLoad returns a load of which no figure was seen.
+// newLoad returns a load without measurements.
 func (f *filter) newLoad(now time.Time) *load {
-	l := &load{slot: f.grow(UnknownHeadroom, UnknownDeviation*UnknownDeviation), seen: now}
-	f.grow(0, slopeDeviation*slopeDeviation)
-	f.grow(UnknownHeadroom, usualDeviation*usualDeviation)
-	value, usual := l.slot+valueSlot, l.slot+usualSlot
-	f.variance[value][usual], f.variance[usual][value] = usualDeviation*usualDeviation, usualDeviation*usualDeviation
+	l := &load{slot: f.addSlot(UnknownHeadroom, UnknownDeviation*UnknownDeviation), updatedAt: now}
+	f.addSlot(0, slopeDeviation*slopeDeviation)
+	f.addSlot(UnknownHeadroom, loadMeanDeviation*loadMeanDeviation)
+	headroom, mean := l.slot+headroomSlot, l.slot+meanSlot
+	f.variance[headroom][mean], f.variance[mean][headroom] = loadMeanDeviation*loadMeanDeviation, loadMeanDeviation*loadMeanDeviation
 	return l
 }
 
-func (f *filter) forget(name string) {
+func (f *filter) removeLoad(name string) {
 	l := f.loads[name]
 	delete(f.loads, name)
-	f.drop(l.slot, loadSlots)
+	f.removeSlots(l.slot, loadSlots)
 }
 
-// forgetOld forgets the loads that showed no figure for long.
-func (f *filter) forgetOld(now time.Time) {
-	var old []string
+// removeExpired removes the loads without a recent measurement.
+func (f *filter) removeExpired(now time.Time) {
+	var expired []string
 	for name, l := range f.loads {
-		if l.old(now) {
-			old = append(old, name)
+		if l.expired(now) {
+			expired = append(expired, name)
 		}
 	}
-	slices.Sort(old)
-	for _, name := range old {
-		f.forget(name)
+	slices.Sort(expired)
+	for _, name := range expired {
+		f.removeLoad(name)
 	}
 }
 
-// advance brings a load to a time.
-func (f *filter) advance(l *load, now time.Time, swing float64) {
-	gap := now.Sub(l.seen).Seconds()
+// advance advances a load to now.
+func (f *filter) advance(l *load, now time.Time, frequency float64) {
+	gap := now.Sub(l.updatedAt).Seconds()
 	if gap <= 0 {
 		return
 	}
-	l.seen = now
-	step := motionOf(gap, swing)
-	copy(f.mean[l.slot:], step.apply([loadSlots]float64(f.mean[l.slot:l.slot+loadSlots])))
+	l.updatedAt = now
+	transition := transitionOver(gap, frequency)
+	copy(f.mean[l.slot:], transition.apply([loadSlots]float64(f.mean[l.slot:l.slot+loadSlots])))
 	for i := range f.variance {
-		moved := step.apply([loadSlots]float64(f.variance[i][l.slot : l.slot+loadSlots]))
-		copy(f.variance[i][l.slot:], moved)
+		result := transition.apply([loadSlots]float64(f.variance[i][l.slot : l.slot+loadSlots]))
+		copy(f.variance[i][l.slot:], result)
 	}
 	for j := range f.mean {
 		var column [loadSlots]float64
 		for k := range column {
 			column[k] = f.variance[l.slot+k][j]
 		}
-		for k, moved := range step.apply(column) {
-			f.variance[l.slot+k][j] = moved
+		for k, result := range transition.apply(column) {
+			f.variance[l.slot+k][j] = result
 		}
 	}
-	for i, row := range noiseOf(gap) {
+	for i, row := range processNoise(gap) {
 		for j, noise := range row {
 			f.variance[l.slot+i][l.slot+j] += noise
 		}
 	}
 }
 
-// ahead returns the slots of a load at a time, and the variance of its value.
-func (f *filter) ahead(l *load, at time.Time, swing float64) ([]float64, float64) {
-	gap := max(at.Sub(l.seen).Seconds(), 0)
-	step, noise := motionOf(gap, swing), noiseOf(gap)
-	slots := step.apply([loadSlots]float64(f.mean[l.slot : l.slot+loadSlots]))
-	variance := noise[valueSlot][valueSlot]
-	for i, a := range step[valueSlot] {
-		for j, b := range step[valueSlot] {
+// predict returns the slots of a load at a time, and the variance of its headroom.
+func (f *filter) predict(l *load, at time.Time, frequency float64) ([]float64, float64) {
+	gap := max(at.Sub(l.updatedAt).Seconds(), 0)
+	transition, noise := transitionOver(gap, frequency), processNoise(gap)
+	slots := transition.apply([loadSlots]float64(f.mean[l.slot : l.slot+loadSlots]))
+	variance := noise[headroomSlot][headroomSlot]
+	for i, a := range transition[headroomSlot] {
+		for j, b := range transition[headroomSlot] {
 			variance += a * b * f.variance[l.slot+i][l.slot+j]
 		}
 	}
--- a/internal/pressure/load.go
+++ b/internal/pressure/load.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// load is what the tasks of one step of a job serve together: their users are shared out evenly, so that the headroom
-// that they would have without neighbors swings alike, around a usual value. On recorded days half of the tasks of a job are
-// within 0.05 of each other, nine of ten within 0.25 but for those that rise alone.
+// load is the state of the users' load that the tasks of one step of a job share. It is spread evenly, so the headroom
+// of the tasks without neighbors varies alike, around a mean. On recorded days the headrooms of half of the tasks of a
+// job are within 0.05 of each other, and of nine in ten within 0.25, apart from tasks with a rise of their own.
 type load struct {
-	// slot is the first of its slots in the filter.
-	slot int
-	seen time.Time
-	// past serves to learn the swing.
-	past past
+	// slot is the index of the load's first slot in the filter.
+	slot      int
+	updatedAt time.Time
+	// recent holds the samples from which the load frequency is estimated.
+	recent recentSamples
 }
 
-// old reports whether nothing of the load's last figure is left at a time.
-func (l *load) old(at time.Time) bool { return at.Sub(l.seen).Seconds() > mostGap }
+// expired reports whether the last measurement of the load is too old to be of use.
+func (l *load) expired(at time.Time) bool { return at.Sub(l.updatedAt).Seconds() > maxGap }
 
-// Load is the headroom that the tasks of a step have without neighbors at a time, its slope in headroom a second, its usual
-// value, and the standard deviation of a task's.
+// Load is the headroom without neighbors that the tasks of a step have at Time, its slope in headroom a second, its
+// mean over time, and the standard deviation of a single task's headroom.
 type Load struct {
 	Headroom  float64
 	Slope     float64
@@ -29,66 +29,68 @@
 	Time      time.Time
 }
 
-// Predict returns the headroom at a later time, where loads swing at a speed in radians a second.
-func (l Load) Predict(at time.Time, swing float64) float64 {
+// Predict returns the headroom at a later time, for a load frequency in radians a second.
+func (l Load) Predict(at time.Time, frequency float64) float64 {
 	gap := max(at.Sub(l.Time).Seconds(), 0)
-	moved := motionOf(gap, swing).apply([loadSlots]float64{valueSlot: l.Headroom, slopeSlot: l.Slope, usualSlot: l.Mean})
-	return min(max(moved[valueSlot], 0), MaxHeadroom)
+	result := transitionOver(gap, frequency).apply([loadSlots]float64{headroomSlot: l.Headroom, slopeSlot: l.Slope, meanSlot: l.Mean})
+	return min(max(result[headroomSlot], 0), MaxHeadroom)
 }
 
 // The slots of a load.
 const (
-	valueSlot = iota
+	headroomSlot = iota
 	slopeSlot
-	usualSlot
+	meanSlot
 	loadSlots
 )
 
 const (
-	// usualDeviation is the standard deviation of the usual headroom of a load that was not seen, from recorded days.
-	usualDeviation = 0.4
-	// swingDrift is the variance that the slope of a load gains each second, beside the swing, and usualDrift that of its
-	// usual value; the best of four each on recorded days.
-	swingDrift = 0.01
-	usualDrift = 0.001
-	// ownDeviation is by how much a task is off its load, steadyDeviation the same where it is known by how much it was off
-	// half a second before.
-	ownDeviation    = 0.25
-	steadyDeviation = 0.15
-	// mostLoads bounds the loads of one image that are followed at once.
-	mostLoads = 32
+	// loadMeanDeviation is the standard deviation of the mean headroom of a load without measurements, from recorded
+	// days.
+	loadMeanDeviation = 0.4
+	// loadSlopeDrift is the variance that the slope of a load gains each second beyond the periodic variation, and
+	// loadMeanDrift that of its mean; the best of four values each on recorded days.
+	loadSlopeDrift = 0.01
+	loadMeanDrift  = 0.001
+	// taskDeviation is the standard deviation of a task's headroom from that of its load, residualDeviation the same
+	// if the task's deviation half a second before is known.
+	taskDeviation     = 0.25
+	residualDeviation = 0.15
+	// maxLoads bounds the number of tracked loads of one image.
+	maxLoads = 32
 )
 
-// motion leads from the slots of a load to the same some time later.
-type motion [loadSlots][loadSlots]float64
+// transition is the matrix that advances the slots of a load by a time.
+type transition [loadSlots][loadSlots]float64
 
-// motionOf returns the motion of a swing, in radians a second, over a gap in seconds.
-func motionOf(gap, swing float64) motion {
-	sin, cos := math.Sincos(swing * gap)
-	return motion{
-		{cos, sin / swing, 1 - cos},
-		{-swing * sin, cos, swing * sin},
+// transitionOver returns the transition of a periodic load, with a frequency in radians a second, over a gap in
+// seconds.
+func transitionOver(gap, frequency float64) transition {
+	sin, cos := math.Sincos(frequency * gap)
+	return transition{
+		{cos, sin / frequency, 1 - cos},
+		{-frequency * sin, cos, frequency * sin},
 		{0, 0, 1},
 	}
 }
 
-// apply returns the slots after the motion.
-func (m motion) apply(slots [loadSlots]float64) []float64 {
-	moved := make([]float64, loadSlots)
+// apply returns the slots after the transition.
+func (m transition) apply(slots [loadSlots]float64) []float64 {
+	result := make([]float64, loadSlots)
 	for i, row := range m {
-		for j, times := range row {
-			moved[i] += times * slots[j]
+		for j, coefficient := range row {
+			result[i] += coefficient * slots[j]
 		}
 	}
-	return moved
+	return result
 }
 
-// noiseOf returns the covariance that the slots of a load gain over a gap in seconds.
-func noiseOf(gap float64) [loadSlots][loadSlots]float64 {
-	cross := swingDrift * gap * gap / 2
+// processNoise returns the covariance that the slots of a load gain over a gap in seconds.
+func processNoise(gap float64) [loadSlots][loadSlots]float64 {
+	cross := loadSlopeDrift * gap * gap / 2
 	return [loadSlots][loadSlots]float64{
-		{swingDrift * gap * gap * gap / 3, cross, 0},
-		{cross, swingDrift * gap, 0},
-		{0, 0, usualDrift * gap},
+		{loadSlopeDrift * gap * gap * gap / 3, cross, 0},
+		{cross, loadSlopeDrift * gap, 0},
+		{0, 0, loadMeanDrift * gap},
 	}
 }
--- a/internal/pressure/model.go
+++ b/internal/pressure/model.go
@@ -8,53 +8,56 @@
 	"time"
 )
 
-// A filter estimates for each serving image by how much each filling image lowers its headroom where that image uses a
-// whole worker, together with the loads of its tasks.
+// A filter estimates for each serving image the interference weight of each best-effort image, which is the loss of
+// headroom if that image uses a whole worker, together with the loads of the serving tasks.
 //
-// Weighed on recorded quiet days: levels (logarithms of the tail over the target) against use, which explain half as
-// much, the square root of use (less), and changes of levels within half a second (a third too low, since figures lag
-// behind). Use is taken as the mean of two figures for that lag, which explains 0.03 to 0.1 more than the newest alone.
+// Alternatives measured on recorded quiet days: the logarithm of tail latency over target against use explains half as
+// much, the square root of use less, and changes of that logarithm within half a second give weights a third too low,
+// since measurements lag. Because of this lag the mean use of two measurements is taken, which explains 0.03 to 0.1
+// more than the latest alone.
 const (
-	// PriorWeight and priorVariance are what is believed of a pair that was never seen: on recorded days two of three pairs
-	// are near 1 and the others near 10.
+	// PriorWeight and priorVariance are the weight and variance of an unknown pair: on recorded days two of three
+	// pairs are near 1 and the others near 10.
 	PriorWeight   = 2.5
 	priorVariance = 12.0
-	// pressedNoise is the part of the variance of a figure that grows with the square of the pressure, which changes within
-	// seconds.
-	pressedNoise = 0.06
-	// enoughTasks is how many tasks have a middle that does not rise alone; rising is how many standard deviations a sample
-	// of fewer has to be too low for that to be taken of it.
-	enoughTasks = 3
-	rising      = 3.0
-	// drift is added to the variance of each weight in use with each sample, since what images do to each other changes.
-	drift = 0.02
-	// mostImages bounds the filling images that are told apart; later ones share the last column.
-	mostImages = 64
-	// mostServing bounds the serving images that are told apart, some 32 KB each at the most; later ones share one filter.
-	mostServing = 128
+	// interferenceNoise is the part of a measurement's variance that grows with the square of the loss by
+	// interference, which changes within seconds.
+	interferenceNoise = 0.06
+	// minMedianTasks is the number of tasks from which the median is unaffected by one task with a rise of its own;
+	// outlierDeviations is by how many standard deviations a smaller sample must be too low to count as such a rise.
+	minMedianTasks    = 3
+	outlierDeviations = 3.0
+	// weightDrift is added with each sample to the variance of each weight in use, since the interference of images
+	// changes.
+	weightDrift = 0.02
+	// maxImages bounds the best-effort images with a column of their own; further ones share the last column.
+	maxImages = 64
+	// maxServing bounds the serving images with a filter of their own, up to about 32 KB each; further ones share one
+	// filter.
+	maxServing = 128
 )
 
-// Model holds what is believed of all pairs; it is safe for concurrent use.
+// Model holds the estimates for all pairs of images; it is safe for concurrent use.
 type Model struct {
-	mu      sync.Mutex
-	columns map[string]int
-	filters map[string]*filter
-	swing   *swing
+	mu        sync.Mutex
+	columns   map[string]int
+	filters   map[string]*filter
+	frequency *frequencyEstimator
 }
 
-// NewModel returns a model that has seen nothing.
+// NewModel returns a model without measurements.
 func NewModel() *Model {
-	return &Model{columns: make(map[string]int), filters: make(map[string]*filter), swing: newSwing()}
+	return &Model{columns: make(map[string]int), filters: make(map[string]*filter), frequency: newFrequencyEstimator()}
 }
 
-// column returns the column of a filling image.
+// column returns the column of a best-effort image.
 func (m *Model) column(image string) int {
 	c, known := m.columns[image]
 	switch {
 	case known:
 		return c
-	case len(m.columns) >= mostImages:
-		return mostImages - 1
+	case len(m.columns) >= maxImages:
+		return maxImages - 1
 	}
 	c = len(m.columns)
 	m.columns[image] = c
@@ -64,106 +67,107 @@
 // filter returns the filter of a serving image.
 func (m *Model) filter(serving string) *filter { return entryOf(m.filters, serving, newFilter) }
 
-// Sample is what the tasks that share one load show on one worker.
+// Sample is the measured headrooms of the tasks on one worker that share a load.
 type Sample struct {
-	// Image is that of the tasks, Load names the load that they share.
+	// Image is the image of the tasks, Load the name of their load.
 	Image string
 	Load  string
-	// Headrooms come from tails in whole milliseconds, under a target in milliseconds.
+	// Headrooms are computed from tail latencies in whole milliseconds and the target in milliseconds.
 	Headrooms    []float64
 	TargetMillis float64
 }
 
-// Observe takes a sample, beside the shares of the worker that each filling image used, and returns the headroom that is
-// now expected there.
+// Observe updates the model with a sample and the shares of the worker that each best-effort image used, and returns
+// the headroom now expected there.
 func (m *Model) Observe(now time.Time, s Sample, use map[string]float64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.filter(s.Image)
-	l := f.load(s.Load, now, m.swing.speed())
+	l := f.load(s.Load, now, m.frequency.estimate())
 	if l == nil {
 		return UnknownHeadroom
 	}
-	weights := f.factors(m.shares(use))
-	pressed := f.pressed(weights)
-	shown := middle(s.Headrooms)
-	if pressed == 0 {
-		m.swing.observe(s.Image, &l.past, now, shown)
+	weights := f.coefficients(m.shares(use))
+	loss := f.loss(weights)
+	measured := upperMedian(s.Headrooms)
+	if loss == 0 {
+		m.frequency.observe(s.Image, &l.recent, now, measured)
 	}
-	value := l.slot + valueSlot
-	off := shown - max(f.mean[value]-pressed, 0)
-	if shown >= saturated || off < 0 {
-		factors := append(slices.Clone(weights), factor{slot: value, times: 1})
-		known := f.spread(factors)
-		f.correct(factors, off, known+noiseOfSample(s, shown, pressed, off, known))
-		f.mean[value] = min(max(f.mean[value], 0), MaxHeadroom)
-		f.loosen(weights)
+	headroom := l.slot + headroomSlot
+	innovation := measured - max(f.mean[headroom]-loss, 0)
+	if measured >= saturatedHeadroom || innovation < 0 {
+		coefficients := append(slices.Clone(weights), coefficient{slot: headroom, factor: 1})
+		predictedVariance := f.sumVariance(coefficients)
+		f.correct(coefficients, innovation, predictedVariance+sampleVariance(s, measured, loss, innovation, predictedVariance))
+		f.mean[headroom] = min(max(f.mean[headroom], 0), MaxHeadroom)
+		f.addDrift(weights)
 	}
-	return max(f.mean[value]-f.pressed(weights), 0)
+	return max(f.mean[headroom]-f.loss(weights), 0)
 }
 
-// middle returns the upper middle of some headrooms: tasks that rise alone lower theirs only.
-func middle(headrooms []float64) float64 {
+// upperMedian returns the upper median of the headrooms; a task with a rise of its own only lowers its headroom.
+func upperMedian(headrooms []float64) float64 {
 	return slices.Sorted(slices.Values(headrooms))[len(headrooms)/2]
 }
 
-// noiseOfSample returns the variance of a sample that is off what was predicted, whose own variance is known. The middle of
-// a few tasks may be one that rises alone; it then tells little.
-func noiseOfSample(s Sample, shown, pressed, off, known float64) float64 {
+// sampleVariance returns the variance of a sample with an innovation, for the variance of its prediction. A small
+// sample that is far too low may come from one task with a rise of its own and gets little weight.
+func sampleVariance(s Sample, measured, loss, innovation, predictedVariance float64) float64 {
 	count := float64(len(s.Headrooms))
-	noise := MeasurementVariance(shown, s.TargetMillis)/count + pressedNoise*pressed*pressed
-	if len(s.Headrooms) >= enoughTasks {
+	noise := MeasurementVariance(measured, s.TargetMillis)/count + interferenceNoise*loss*loss
+	if len(s.Headrooms) >= minMedianTasks {
 		return noise
 	}
-	noise += ownDeviation * ownDeviation / count
-	if off < -rising*math.Sqrt(known+noise) {
-		noise += off * off
+	noise += taskDeviation * taskDeviation / count
+	if innovation < -outlierDeviations*math.Sqrt(predictedVariance+noise) {
+		noise += innovation * innovation
 	}
 	return noise
 }
 
-// followed returns a load that showed a figure not too long before a time, with its filter; nil where there is none.
-func (m *Model) followed(serving, name string, at time.Time) (*filter, *load) {
+// findLoad returns a load with a recent measurement and its filter; the load is nil if there is none.
+func (m *Model) findLoad(serving, name string, at time.Time) (*filter, *load) {
 	f := m.filter(serving)
 	l := f.loads[name]
-	if l == nil || l.old(at) {
+	if l == nil || l.expired(at) {
 		return f, nil
 	}
 	return f, l
 }
 
-// Load returns a load at a time, false where it is not known.
+// Load returns a load at a time, and false if it is unknown.
 func (m *Model) Load(serving, name string, now time.Time) (Load, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, l := m.followed(serving, name, now)
+	f, l := m.findLoad(serving, name, now)
 	if l == nil {
 		return Load{}, false
 	}
-	slots, variance := f.ahead(l, now, m.swing.speed())
+	slots, variance := f.predict(l, now, m.frequency.estimate())
 	return Load{
-		Headroom: slots[valueSlot], Slope: slots[slopeSlot], Mean: slots[usualSlot],
-		Deviation: math.Sqrt(variance + steadyDeviation*steadyDeviation), Time: now,
+		Headroom: slots[headroomSlot], Slope: slots[slopeSlot], Mean: slots[meanSlot],
+		Deviation: math.Sqrt(variance + residualDeviation*residualDeviation), Time: now,
 	}, true
 }
 
-// Predict returns the headroom that a task of a load likely has at a time without neighbors, and its standard deviation.
+// Predict returns the expected headroom without neighbors of a task with the load at a time, and its standard
+// deviation.
 func (m *Model) Predict(serving, name string, at time.Time) (float64, float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, l := m.followed(serving, name, at)
+	f, l := m.findLoad(serving, name, at)
 	if l == nil {
 		return UnknownHeadroom, UnknownDeviation
 	}
-	slots, variance := f.ahead(l, at, m.swing.speed())
-	return min(max(slots[valueSlot], 0), MaxHeadroom), min(math.Sqrt(variance+ownDeviation*ownDeviation), UnknownDeviation)
+	slots, variance := f.predict(l, at, m.frequency.estimate())
+	return min(max(slots[headroomSlot], 0), MaxHeadroom), min(math.Sqrt(variance+taskDeviation*taskDeviation), UnknownDeviation)
 }
 
-// LoadFrequency returns how fast the loads of serving tasks swing, in radians a second.
+// LoadFrequency returns the frequency of the load variation of serving tasks, in radians a second.
 func (m *Model) LoadFrequency() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.swing.speed()
+	return m.frequency.estimate()
 }
 
 // shares returns the shares by columns.
@@ -175,11 +179,11 @@
 	return shares
 }
 
-// Weight returns by how much a filling image lowers the headroom of a serving one where it uses the whole worker,
-// at least 0, and the standard deviation of that belief.
-func (m *Model) Weight(serving, filling string) (float64, float64) {
+// Weight returns the loss of headroom that a best-effort image causes to a serving one if it uses the whole worker, at
+// least 0, and its standard deviation.
+func (m *Model) Weight(serving, bestEffort string) (float64, float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	weight, variance := m.filter(serving).weight(m.column(filling))
+	weight, variance := m.filter(serving).weight(m.column(bestEffort))
 	return weight, math.Sqrt(variance)
 }
--- a/internal/pressure/residual.go
+++ b/internal/pressure/residual.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Residual follows by how much the headroom of a task is off what its load and its neighbors explain. The zero Residual is off by
-// nothing.
+// Residual tracks the offset of a task's headroom from that explained by its load and its neighbors. The zero Residual
+// has an offset of 0.
 type Residual struct {
-	off  float64
-	seen time.Time
+	offset     float64
+	observedAt time.Time
 }
 
-// ownAfter is the time in seconds after which a third is left of what a task is off, since a task that rises alone does so
-// for some two seconds.
-const ownAfter = 1.4
+// residualDecaySeconds is the time after which a third of the offset is left, since a task's own rise lasts about two
+// seconds.
+const residualDecaySeconds = 1.4
 
-// Observe takes by how much the task is off.
-func (o *Residual) Observe(now time.Time, off float64) { o.off, o.seen = off, now }
+// Observe records the offset.
+func (r *Residual) Observe(now time.Time, offset float64) { r.offset, r.observedAt = offset, now }
 
-// Predict returns by how much the task is likely off at a time.
-func (o *Residual) Predict(at time.Time) float64 {
-	if o.seen.IsZero() {
+// Predict returns the expected offset at a time.
+func (r *Residual) Predict(at time.Time) float64 {
+	if r.observedAt.IsZero() {
 		return 0
 	}
-	return o.off * math.Exp(-max(at.Sub(o.seen).Seconds(), 0)/ownAfter)
+	return r.offset * math.Exp(-max(at.Sub(r.observedAt).Seconds(), 0)/residualDecaySeconds)
 }
--- a/internal/pressure/shared.go
+++ b/internal/pressure/shared.go
@@ -1,12 +1,12 @@
 package pressure
 
-// sharedImage names the entry of all serving images beyond those that are told apart.
+// sharedImage is the key of the entry shared by all serving images beyond maxServing.
 const sharedImage = ""
 
-// entryOf returns the entry of a serving image, a new one where it has none; beyond mostServing images all share one.
+// entryOf returns the entry of a serving image, which it creates if needed; beyond maxServing all images share one.
 func entryOf[T any](entries map[string]*T, serving string, create func() *T) *T {
 	entry := entries[serving]
-	if entry == nil && len(entries) >= mostServing {
+	if entry == nil && len(entries) >= maxServing {
 		serving = sharedImage
 		entry = entries[serving]
 	}
