--- a/internal/interference/interference.go
+++ b/internal/interference/interference.go
@@ -11,23 +11,23 @@
 
 	priorMean   = 0.25
 	priorWeight = 1
-	spread      = 0.3
+	uncertainty = 0.3
 	halfLife    = 30 * time.Minute
 	maxPairs    = 4096
 
-	// baseRise is how fast a base that is no longer seen is given up, a second.
-	baseRise     = 0.0005
-	runSmoothing = 0.3
-	fewSamples   = 20
+	// baselineGrowth is the relative growth of an unconfirmed baseline, a second.
+	baselineGrowth   = 0.0005
+	runtimeSmoothing = 0.3
+	minSamples       = 20
 
-	// mostSlowdown bounds a sample: what is slower than that was paused or lost, and no neighbor did it.
-	mostSlowdown = 2
+	// maxSlowdown bounds a sample: a slower one was paused or lost, which no neighbor causes.
+	maxSlowdown = 2
 )
 
 // Band is a band of a service's load, from 0 for idle to Bands-1 for its peak.
 type Band int
 
-// BandOf returns the band of a load, 0 to 1 of what the replica can run at once.
+// BandOf returns the band of a load, from 0 to 1 of the requests that the replica can run at once.
 func BandOf(load float64) Band {
 	return Band(min(max(int(load*Bands), 0), Bands-1))
 }
@@ -42,34 +42,34 @@
 // NewKey returns the key of a pair in a band.
 func NewKey(service, batch string, band Band) Key { return Key{service, batch, band} }
 
-// belief is what is believed of a pair: the slowdown by a task that takes all processors, and its weight in samples.
-type belief struct {
-	mean   float64
-	weight float64
-	seen   time.Time
+// estimate is the slowdown by a task that takes all processors, and its weight in samples.
+type estimate struct {
+	mean      float64
+	weight    float64
+	updatedAt time.Time
 }
 
-// base is how long requests of a service run in a band beside no batch task, in seconds.
-type base struct {
-	least  float64
-	recent float64
-	seen   time.Time
+// baseline is the run time in seconds of a service's requests in a band without batch tasks.
+type baseline struct {
+	lowest    float64
+	recent    float64
+	updatedAt time.Time
 }
 
-type baseKey struct {
+type baselineKey struct {
 	service string
 	band    Band
 }
 
-// Model holds what was learned of all pairs; the zero value is not ready, use New.
+// Model holds the estimates of all pairs; create it with New.
 type Model struct {
-	beliefs map[Key]belief
-	bases   map[baseKey]base
+	estimates map[Key]estimate
+	baselines map[baselineKey]baseline
 }
 
-// New returns a model that knows nothing but a cautious prior.
+// New returns a model with only a cautious prior.
 func New() *Model {
-	return &Model{beliefs: make(map[Key]belief), bases: make(map[baseKey]base)}
+	return &Model{estimates: make(map[Key]estimate), baselines: make(map[baselineKey]baseline)}
 }
 
 // Neighbor is a batch workload beside the service with the share of the VM's processors that it may use, 0 to 1.
@@ -87,104 +87,104 @@
 // Share returns the share of the VM's processors that the workload may use, 0 to 1.
 func (n Neighbor) Share() float64 { return n.share }
 
-// Observe takes note of how long requests of a service ran on average beside some neighbors in a band, and returns
-// the slowdown, 0 for none, that is more than the service's own course.
+// Observe records the average run time of a service's requests beside neighbors in a band, and returns the slowdown
+// relative to the service's baseline, 0 for none.
 //
-// What the present beliefs do not explain is divided among the neighbors by their share and their uncertainty.
-func (m *Model) Observe(service string, band Band, neighbors []Neighbor, run time.Duration, samples int64, now time.Time) float64 {
+// The part that the present estimates do not explain is divided among the neighbors by their share and uncertainty.
+func (m *Model) Observe(service string, band Band, neighbors []Neighbor, runtime time.Duration, samples int64, now time.Time) float64 {
 	if samples <= 0 {
 		return 0
 	}
-	slowdown := m.slowdown(service, band, run.Seconds(), samples, now)
-	expected, blame := 0.0, 0.0
+	slowdown := m.slowdown(service, band, runtime.Seconds(), samples, now)
+	expected, totalVariance := 0.0, 0.0
 	for _, n := range neighbors {
-		b := m.at(NewKey(service, n.workload, band), now)
-		expected += b.mean * n.share
-		blame += n.share * n.share / b.weight
+		e := m.estimateAt(NewKey(service, n.workload, band), now)
+		expected += e.mean * n.share
+		totalVariance += n.share * n.share / e.weight
 	}
-	if blame == 0 {
+	if totalVariance == 0 {
 		return slowdown
 	}
-	surprise := slowdown - expected
-	weight := float64(samples) / float64(samples+fewSamples)
+	unexplained := slowdown - expected
+	weight := float64(samples) / float64(samples+minSamples)
 	for _, n := range neighbors {
 		key := NewKey(service, n.workload, band)
-		b := m.at(key, now)
-		gain := n.share / b.weight / (blame + spread)
-		m.learn(key, b, surprise*gain*weight, n.share*weight, now)
+		e := m.estimateAt(key, now)
+		gain := n.share / e.weight / (totalVariance + uncertainty)
+		m.update(key, e, unexplained*gain*weight, n.share*weight, now)
 	}
 	return slowdown
 }
 
-// slowdown compares a run time with the least that was seen in the band, which is given up slowly.
-func (m *Model) slowdown(service string, band Band, run float64, samples int64, now time.Time) float64 {
-	key := baseKey{service, band}
-	b, ok := m.bases[key]
+// slowdown compares a run time with the lowest one in the band, which grows slowly while unconfirmed.
+func (m *Model) slowdown(service string, band Band, runtime float64, samples int64, now time.Time) float64 {
+	key := baselineKey{service, band}
+	b, ok := m.baselines[key]
 	if !ok {
-		b = m.nearestBase(service, band, run)
-		b.seen = now
+		b = m.initialBaseline(service, band, runtime)
+		b.updatedAt = now
 	}
-	run = min(run, b.least*(1+mostSlowdown))
-	b.recent += runSmoothing * (run - b.recent)
-	b.least *= 1 + baseRise*now.Sub(b.seen).Seconds()
-	b.seen = now
-	if samples >= fewSamples {
-		b.least = min(b.least, b.recent)
+	runtime = min(runtime, b.lowest*(1+maxSlowdown))
+	b.recent += runtimeSmoothing * (runtime - b.recent)
+	b.lowest *= 1 + baselineGrowth*now.Sub(b.updatedAt).Seconds()
+	b.updatedAt = now
+	if samples >= minSamples {
+		b.lowest = min(b.lowest, b.recent)
 	}
-	m.bases[key] = b
-	return max(b.recent/b.least-1, 0)
+	m.baselines[key] = b
+	return max(b.recent/b.lowest-1, 0)
 }
 
-// nearestBase begins a band with the base of the nearest lower one, since load alone makes nothing faster.
-func (m *Model) nearestBase(service string, band Band, run float64) base {
+// initialBaseline returns the baseline of the next lower band as that of a new band, since a higher load makes nothing
+// faster.
+func (m *Model) initialBaseline(service string, band Band, runtime float64) baseline {
 	for lower := band - 1; lower >= 0; lower-- {
-		if b, ok := m.bases[baseKey{service, lower}]; ok {
-			return base{least: b.least, recent: run}
+		if b, ok := m.baselines[baselineKey{service, lower}]; ok {
+			return baseline{lowest: b.lowest, recent: runtime}
 		}
 	}
-	return base{least: run, recent: run}
+	return baseline{lowest: runtime, recent: runtime}
 }
 
-func (m *Model) learn(key Key, b belief, change, weight float64, now time.Time) {
-	if _, known := m.beliefs[key]; !known && len(m.beliefs) >= maxPairs {
+func (m *Model) update(key Key, e estimate, correction, weight float64, now time.Time) {
+	if _, known := m.estimates[key]; !known && len(m.estimates) >= maxPairs {
 		return
 	}
-	b.mean = max(0, b.mean+change)
-	b.weight += weight
-	b.seen = now
-	m.beliefs[key] = b
+	e.mean = max(0, e.mean+correction)
+	e.weight += weight
+	e.updatedAt = now
+	m.estimates[key] = e
 }
 
-// at returns the belief of a pair, faded towards the prior by its age; an unknown band is as the next lower known one,
-// or worse.
-func (m *Model) at(key Key, now time.Time) belief {
-	b, ok := m.beliefs[key]
+// estimateAt returns the estimate of a pair, decayed towards the prior by its age.
+func (m *Model) estimateAt(key Key, now time.Time) estimate {
+	e, ok := m.estimates[key]
 	if !ok {
-		return belief{mean: m.priorOf(key), weight: priorWeight, seen: now}
+		return estimate{mean: m.priorMeanOf(key), weight: priorWeight, updatedAt: now}
 	}
-	kept := math.Exp2(-float64(now.Sub(b.seen)) / float64(halfLife))
-	b.weight = priorWeight + (b.weight-priorWeight)*kept
-	b.mean = priorMean + (b.mean-priorMean)*kept
-	return b
+	decay := math.Exp2(-float64(now.Sub(e.updatedAt)) / float64(halfLife))
+	e.weight = priorWeight + (e.weight-priorWeight)*decay
+	e.mean = priorMean + (e.mean-priorMean)*decay
+	return e
 }
 
-func (m *Model) priorOf(key Key) float64 {
+func (m *Model) priorMeanOf(key Key) float64 {
 	for lower := key.band - 1; lower >= 0; lower-- {
-		if b, ok := m.beliefs[Key{key.service, key.batch, lower}]; ok {
-			return max(b.mean*1.5, priorMean/2)
+		if e, ok := m.estimates[Key{key.service, key.batch, lower}]; ok {
+			return max(e.mean*1.5, priorMean/2)
 		}
 	}
 	return priorMean
 }
 
-// SlowdownBound returns an upper bound of the slowdown that a batch workload with a share of the VM's processors causes; with
-// less seen the bound is higher.
+// SlowdownBound returns an upper bound of the slowdown by a batch workload with a share of the VM's processors; fewer
+// samples give a higher bound.
 func (m *Model) SlowdownBound(service, batch string, band Band, share float64, now time.Time) float64 {
-	b := m.at(NewKey(service, batch, band), now)
-	return (b.mean + spread/math.Sqrt(b.weight)) * share
+	e := m.estimateAt(NewKey(service, batch, band), now)
+	return (e.mean + uncertainty/math.Sqrt(e.weight)) * share
 }
 
-// MeanSlowdown returns the slowdown believed of a batch workload that takes all processors of the VM.
+// MeanSlowdown returns the expected slowdown by a batch workload that takes all processors of the VM.
 func (m *Model) MeanSlowdown(service, batch string, band Band, now time.Time) float64 {
-	return m.at(NewKey(service, batch, band), now).mean
+	return m.estimateAt(NewKey(service, batch, band), now).mean
 }
--- a/internal/interference/interference_test.go
+++ b/internal/interference/interference_test.go
@@ -9,14 +9,14 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// observe plays a number of reports of a run time beside neighbors.
-func observe(m *Model, reports int, run time.Duration, neighbors ...Neighbor) {
+// observe records a number of reports of a run time beside neighbors.
+func observe(m *Model, reports int, runtime time.Duration, neighbors ...Neighbor) {
 	for range reports {
-		m.Observe("lookups", 1, neighbors, run, 100, start)
+		m.Observe("lookups", 1, neighbors, runtime, 100, start)
 	}
 }
 
-func TestHarmIsLearnedAndDivided(t *testing.T) {
+func TestSlowdownIsLearnedAndDivided(t *testing.T) {
 	m := New()
 	mailing, sync := NewNeighbor("mailing", 0.4), NewNeighbor("sync", 0.4)
 	observe(m, 20, 10*time.Millisecond)
@@ -27,8 +27,9 @@
 	assert.Assert(t, m.SlowdownBound("lookups", "mailing", 1, 0.4, start) > m.MeanSlowdown("lookups", "mailing", 1, start)*0.4)
 }
 
-// A frozen VM once taught the model that its batch tasks slow lookups a thousand times; nothing was placed again.
-func TestPauseTeachesLittle(t *testing.T) {
+// TestPauseHasBoundedEffect guards against an outlier from a frozen VM: the model derived a slowdown of lookups by a
+// factor of a thousand, and no batch task was placed any more.
+func TestPauseHasBoundedEffect(t *testing.T) {
 	m := New()
 	mailing := NewNeighbor("mailing", 0.4)
 	observe(m, 20, 10*time.Millisecond)
@@ -38,7 +39,7 @@
 	assert.Assert(t, m.MeanSlowdown("lookups", "mailing", 1, start) < 0.3)
 }
 
-func TestWhatIsNotSeenFades(t *testing.T) {
+func TestUnobservedEstimateDecays(t *testing.T) {
 	m := New()
 	observe(m, 20, 10*time.Millisecond)
 	observe(m, 50, 25*time.Millisecond, NewNeighbor("mailing", 0.4))
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,3 +1,3 @@
-// Package placement chooses the VM of a task. It is pure: it sees a snapshot
-// of the nodes of a cell and answers with a node and the reason.
+// Package placement chooses the worker of a task from a snapshot of the workers of a cell, and reports the reason. It
+// has no side effects.
 package placement
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -8,10 +8,10 @@
 
 //go:generate stringer -type=Reason -linecomment -output=reason_string.go
 
-// Reason says why a node was chosen, or why it cannot be.
+// Reason is why a candidate was chosen or rejected.
 type Reason int
 
-// The reasons, in the order in which a node is tested.
+// The reasons, in the order in which a candidate is checked.
 const (
 	Chosen             Reason = iota // chosen
 	NoWorkers                        // no workers in the cell
@@ -27,45 +27,45 @@
 	reasonCount
 )
 
-// Candidate is what is known of one VM.
+// Candidate is a worker on which a task may be placed.
 type Candidate struct {
-	capacity resource.Vector
-	free     resource.Vector
-	rack     int
-	closed   Reason
-	pressed  bool
-	harm     float64
-	replicas int
-	rackmate int
+	capacity     resource.Vector
+	free         resource.Vector
+	rack         int
+	closed       Reason
+	batchBlocked bool
+	interference float64
+	replicas     int
+	rackReplicas int
 }
 
-// NewCandidate returns a node with its capacity and what is free of it, in a rack.
+// NewCandidate returns a candidate with a capacity and free capacity, in a rack.
 func NewCandidate(capacity, free resource.Vector, rack int) Candidate {
 	return Candidate{capacity: capacity, free: free, rack: rack}
 }
 
-// Close keeps all tasks off the node for a reason.
-func (n *Candidate) Close(reason Reason) { n.closed = reason }
+// Close rejects all tasks for a reason.
+func (c *Candidate) Close(reason Reason) { c.closed = reason }
 
-// BlockBatch keeps batch tasks off the node, since its services are near their target.
-func (n *Candidate) BlockBatch() { n.pressed = true }
+// BlockBatch rejects batch tasks, since services of the worker are near their latency target.
+func (c *Candidate) BlockBatch() { c.batchBlocked = true }
 
-// SetInterference sets by how much, as an upper bound of the share of the target, the task would slow the services there.
-func (n *Candidate) SetInterference(harm float64) { n.harm = harm }
+// SetInterference sets an upper bound of the slowdown of services by the task, as a share of their latency.
+func (c *Candidate) SetInterference(interference float64) { c.interference = interference }
 
-// SetReplicas sets how many replicas of the same service the node and its rack run.
-func (n *Candidate) SetReplicas(onNode, onRack int) { n.replicas, n.rackmate = onNode, onRack }
+// SetReplicas sets how many replicas of the same service run on the worker and in its rack.
+func (c *Candidate) SetReplicas(onWorker, onRack int) { c.replicas, c.rackReplicas = onWorker, onRack }
 
-// HasReplica reports whether the node runs a replica of the same service.
-func (n *Candidate) HasReplica() bool { return n.replicas > 0 }
+// HasReplica reports whether the worker runs a replica of the same service.
+func (c *Candidate) HasReplica() bool { return c.replicas > 0 }
 
-// Allocate lessens what is free on the node.
-func (n *Candidate) Allocate(size resource.Vector) { n.free = n.free.Sub(size) }
+// Allocate subtracts size from the free capacity.
+func (c *Candidate) Allocate(size resource.Vector) { c.free = c.free.Sub(size) }
 
-// Free returns what is free on the node.
-func (n *Candidate) Free() resource.Vector { return n.free }
+// Free returns the free capacity.
+func (c *Candidate) Free() resource.Vector { return c.free }
 
-// Weights say how much each part of the cost counts.
+// Weights are the weights of the parts of the cost, and the highest accepted interference.
 type Weights struct {
 	Fit             float64
 	Spread          float64
@@ -73,7 +73,7 @@
 	MaxInterference float64
 }
 
-// DefaultWeights are the weights by which the simulated days of proving/decision were measured.
+// DefaultWeights returns the weights with which the simulated days of proving/decision were measured.
 func DefaultWeights() Weights {
 	return Weights{Fit: 1, Spread: 4, Interference: 6, MaxInterference: 0.12}
 }
@@ -89,83 +89,83 @@
 	return Request{size: size, service: service}
 }
 
-// Result is the answer: a node, or how many nodes were passed over for each reason.
+// Result is the chosen candidate, or the number of candidates rejected for each reason.
 type Result struct {
-	node   int
+	index  int
 	cost   float64
 	counts [reasonCount]int
 }
 
-// Index returns the place of the chosen node, or -1 for none.
-func (v *Result) Index() int { return v.node }
+// Index returns the index of the chosen candidate, or -1.
+func (r *Result) Index() int { return r.index }
 
-// MainReason returns the reason for which most nodes were passed over, or Chosen.
-func (v *Result) MainReason() Reason {
-	if v.node >= 0 {
+// MainReason returns the most frequent reason for rejection, or Chosen.
+func (r *Result) MainReason() Reason {
+	if r.index >= 0 {
 		return Chosen
 	}
 	most := NoWorkers
-	for r := WorkerLeaving; r < reasonCount; r++ {
-		if v.counts[r] > v.counts[most] {
-			most = r
+	for reason := WorkerLeaving; reason < reasonCount; reason++ {
+		if r.counts[reason] > r.counts[most] {
+			most = reason
 		}
 	}
 	return most
 }
 
-// Choose returns the node of least cost that the request fits on; it allocates nothing.
-func Choose(request Request, nodes []Candidate, weights Weights) Result {
-	verdict := Result{node: -1, cost: math.Inf(1)}
-	for i := range nodes {
-		n := &nodes[i]
-		if reason := n.refuses(request, weights); reason != Chosen {
-			verdict.counts[reason]++
+// Choose returns the candidate with the lowest cost that accepts the request. It does not allocate.
+func Choose(request Request, candidates []Candidate, weights Weights) Result {
+	result := Result{index: -1, cost: math.Inf(1)}
+	for i := range candidates {
+		c := &candidates[i]
+		if reason := c.rejection(request, weights); reason != Chosen {
+			result.counts[reason]++
 			continue
 		}
-		if cost := n.cost(request, weights); cost < verdict.cost {
-			verdict.node, verdict.cost = i, cost
+		if cost := c.cost(request, weights); cost < result.cost {
+			result.index, result.cost = i, cost
 		}
 	}
-	return verdict
+	return result
 }
 
-func (n *Candidate) refuses(request Request, weights Weights) Reason {
+func (c *Candidate) rejection(request Request, weights Weights) Reason {
 	switch {
-	case n.closed != Chosen:
-		return n.closed
-	case request.service && n.replicas > 0:
+	case c.closed != Chosen:
+		return c.closed
+	case request.service && c.replicas > 0:
 		return WorkerHasReplica
-	case request.size.Processors() > n.free.Processors():
+	case request.size.Processors() > c.free.Processors():
 		return TooFewProcessors
-	case request.size.Memory() > n.free.Memory():
+	case request.size.Memory() > c.free.Memory():
 		return TooLittleMemory
-	case request.size.Accelerators() > n.free.Accelerators():
+	case request.size.Accelerators() > c.free.Accelerators():
 		return NoAccelerators
-	case !request.service && n.pressed:
+	case !request.service && c.batchBlocked:
 		return WorkerNearTarget
-	case !request.service && n.harm > weights.MaxInterference:
+	case !request.service && c.interference > weights.MaxInterference:
 		return WorkerInterference
 	default:
 		return Chosen
 	}
 }
 
-func (n *Candidate) cost(request Request, weights Weights) float64 {
-	left := n.free.Sub(request.size)
-	cost := weights.Fit * n.imbalance(left)
+func (c *Candidate) cost(request Request, weights Weights) float64 {
+	remaining := c.free.Sub(request.size)
+	cost := weights.Fit * c.imbalance(remaining)
 	if request.service {
-		cost += weights.Spread * float64(n.rackmate)
-		cost += weights.Fit * (1 - share(left.Processors(), n.capacity.Processors()))
+		cost += weights.Spread * float64(c.rackReplicas)
+		cost += weights.Fit * (1 - share(remaining.Processors(), c.capacity.Processors()))
 	} else {
-		cost += weights.Interference * n.harm
-		cost += weights.Fit * (1 - share(left.Processors(), n.capacity.Processors())) / 2
+		cost += weights.Interference * c.interference
+		cost += weights.Fit * (1 - share(remaining.Processors(), c.capacity.Processors())) / 2
 	}
 	return cost
 }
 
-// imbalance is how far apart the shares of processors and memory that stay free are.
-func (n *Candidate) imbalance(left resource.Vector) float64 {
-	return math.Abs(share(left.Processors(), n.capacity.Processors()) - share(left.Memory(), n.capacity.Memory()))
+// imbalance returns the difference between the free shares of processors and memory.
+func (c *Candidate) imbalance(remaining resource.Vector) float64 {
+	return math.Abs(share(remaining.Processors(), c.capacity.Processors()) - share(remaining.Memory(), c.capacity.Memory()))
 }
 
 func share(part, total int64) float64 {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,7 +8,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/resource"
 )
 
-func nodes(n int) []Candidate {
+func candidates(n int) []Candidate {
 	list := make([]Candidate, n)
 	for i := range list {
 		list[i] = NewCandidate(resource.New(30000, 125000, 0), resource.New(int64(1000*(i%20)), 60000, 0), 1+i/3)
@@ -18,21 +18,21 @@
 }
 
 func TestChooseAllocatesNothing(t *testing.T) {
-	list, request := nodes(32), NewRequest(resource.New(4000, 8000, 0), false)
+	list, request := candidates(32), NewRequest(resource.New(4000, 8000, 0), false)
 	weights := DefaultWeights()
 	assert.Equal(t, testing.AllocsPerRun(100, func() { Choose(request, list, weights) }), 0.0)
 }
 
-func TestTheHarmlessNodeIsChosen(t *testing.T) {
-	harmed := NewCandidate(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
-	harmed.SetInterference(0.1)
-	quiet := NewCandidate(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
-	verdict := Choose(NewRequest(resource.New(1000, 1000, 0), false), []Candidate{harmed, quiet}, DefaultWeights())
-	assert.Equal(t, verdict.Index(), 1)
+func TestCandidateWithoutInterferenceIsChosen(t *testing.T) {
+	slowed := NewCandidate(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
+	slowed.SetInterference(0.1)
+	unaffected := NewCandidate(resource.New(8000, 8000, 0), resource.New(6000, 6000, 0), 1)
+	result := Choose(NewRequest(resource.New(1000, 1000, 0), false), []Candidate{slowed, unaffected}, DefaultWeights())
+	assert.Equal(t, result.Index(), 1)
 }
 
 func BenchmarkChoose(b *testing.B) {
-	list, request := nodes(32), NewRequest(resource.New(4000, 8000, 0), false)
+	list, request := candidates(32), NewRequest(resource.New(4000, 8000, 0), false)
 	weights := DefaultWeights()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -217,7 +217,7 @@
 		workers, groups := drawInputs(t)
 		var withUnrelated []*Worker
 		for _, w := range workers {
-			for range rapid.IntRange(0, 2).Draw(t, "unrelated") {
+			for range rapid.IntRange(0, 2).Draw(t, "strangers") {
 				unrelated := &Worker{
 					Host: job.Host{VM: fmt.Sprintf("%s-%d", w.Host.VM, len(withUnrelated))}, Trials: -1, Schedulable: rapid.Bool().Draw(t, "open"),
 					Capacity: job.Size{CPU: rapid.IntRange(-9, 99).Draw(t, "unrelated cpu") * 1000, Memory: 99000},
--- a/internal/probation/doc.go
+++ b/internal/probation/doc.go
@@ -1,3 +1,3 @@
-// Package probation keeps work away from what fails: a worker that fails its
-// tasks, or an endpoint that fails its requests, gets one trial at a time.
+// Package probation keeps work from failing targets: a worker that fails its tasks, or an endpoint that fails its
+// requests, gets one trial at a time.
 package probation
--- a/internal/remedy/doc.go
+++ b/internal/remedy/doc.go
@@ -1,3 +1,3 @@
-// Package remedy decides what is done about a service that nears its target:
-// throttle first, then keep new work away, then checkpoint and evict.
+// Package remedy decides on actions for a service that nears its latency target: first throttle batch tasks, then
+// block new ones, then checkpoint and evict.
 package remedy
--- a/internal/scheduling/batch.go
+++ b/internal/scheduling/batch.go
@@ -13,13 +13,13 @@
 
 // waitingJob is a job with tasks to place.
 type waitingJob struct {
-	job    cell.Job
-	row    table.Row
-	size   resource.Vector
-	entry  queueing.Entry
-	resume []cell.Task
-	next   int
-	passed bool
+	job     cell.Job
+	row     table.Row
+	size    resource.Vector
+	entry   queueing.Entry
+	resume  []cell.Task
+	next    int
+	skipped bool
 }
 
 func (p *planner) placeBatch() {
@@ -29,7 +29,7 @@
 	jobs := p.waitingJobs(teams)
 	for !p.full() {
 		i := queueing.Next(jobs, func(w *waitingJob) *queueing.Entry { return &w.entry },
-			func(w *waitingJob) bool { return w.passed }, p.now, capacity)
+			func(w *waitingJob) bool { return w.skipped }, p.now, capacity)
 		if i < 0 {
 			return
 		}
@@ -45,7 +45,7 @@
 	return total
 }
 
-// teams returns what each team uses in the cell, by the dominant share of which they are served.
+// teams returns the usage, quota and weight of each team in the cell, by team.
 func (p *planner) teams() map[string]*queueing.Team {
 	teams := make(map[string]*queueing.Team)
 	for _, r := range p.table.Rows() {
@@ -112,37 +112,37 @@
 	return w
 }
 
-// placeNext places one task of a job, or passes the job over for the rest of the plan.
+// placeNext places one task of a job, or skips the job for the rest of the plan.
 func (p *planner) placeNext(w *waitingJob, running map[string]int) {
 	id, ok := w.nextTask()
 	if !ok {
-		w.passed = true
+		w.skipped = true
 		return
 	}
 	if running[w.row.Workload()] >= w.row.Concurrency() {
-		p.pass(w, Waiting{limit: true})
+		p.skip(w, Waiting{limit: true})
 		return
 	}
 	if !w.entry.Team().Allows(w.size) {
-		p.pass(w, Waiting{quota: true})
+		p.skip(w, Waiting{quota: true})
 		return
 	}
-	p.setHarm(w.row, w.size)
-	verdict := placement.Choose(placement.NewRequest(w.size, false), p.nodes, p.weights)
-	if verdict.Index() < 0 || !p.assign(id, verdict.Index(), w.size) {
-		p.pass(w, Waiting{reason: verdict.MainReason(), never: !FitsEmptyWorker(w.size, p.workers)})
+	p.setInterference(w.row, w.size)
+	result := placement.Choose(placement.NewRequest(w.size, false), p.candidates, p.weights)
+	if result.Index() < 0 || !p.assign(id, result.Index(), w.size) {
+		p.skip(w, Waiting{reason: result.MainReason(), tooLarge: !FitsEmptyWorker(w.size, p.workers)})
 		p.reserve(w)
 		return
 	}
-	p.addHarm(verdict.Index(), w.row.Workload(), w.size)
+	p.addSlowdown(result.Index(), w.row.Workload(), w.size)
 	running[w.row.Workload()]++
 	w.entry.Team().Allocate(w.size)
-	w.took()
+	w.advance()
 }
 
-func (p *planner) pass(w *waitingJob, why Waiting) {
-	w.passed = true
-	p.plan.waiting[w.job.ID()] = why
+func (p *planner) skip(w *waitingJob, reason Waiting) {
+	w.skipped = true
+	p.plan.waiting[w.job.ID()] = reason
 }
 
 func (w *waitingJob) nextTask() (task.ID, bool) {
@@ -155,7 +155,7 @@
 	return task.ID{}, false
 }
 
-func (w *waitingJob) took() {
+func (w *waitingJob) advance() {
 	if len(w.resume) > 0 {
 		w.resume = w.resume[1:]
 		return
@@ -163,37 +163,38 @@
 	w.next++
 }
 
-// buildHarms works out what the batch tasks of each worker are believed to slow its services by.
-func (p *planner) buildHarms() {
-	p.harms = make([]map[string]float64, len(p.workers))
+// buildSlowdowns computes the expected slowdown of the services on each worker by its batch tasks.
+func (p *planner) buildSlowdowns() {
+	p.slowdowns = make([]map[string]float64, len(p.workers))
 	for i := range p.workers {
-		p.harms[i] = make(map[string]float64)
+		p.slowdowns[i] = make(map[string]float64)
 	}
 	for _, t := range p.tasks {
-		if i, ok := p.places[t.Instance()]; ok && t.IsPlaced() && !t.IsService() {
-			p.addHarm(i, t.Workload(), t.Size())
+		if i, ok := p.workerIndex[t.Instance()]; ok && t.IsPlaced() && !t.IsService() {
+			p.addSlowdown(i, t.Workload(), t.Size())
 		}
 	}
 }
 
-func (p *planner) addHarm(node int, workload string, size resource.Vector) {
-	w := p.workers[node]
+func (p *planner) addSlowdown(worker int, workload string, size resource.Vector) {
+	w := p.workers[worker]
 	for service, band := range w.bands {
-		p.harms[node][service] += p.model.MeanSlowdown(service, workload, band, p.now) * shareOf(size, w.capacity)
+		p.slowdowns[worker][service] += p.model.MeanSlowdown(service, workload, band, p.now) * shareOf(size, w.capacity)
 	}
 }
 
-// setHarm tells each node how much its services would be slowed in all, with the task by an upper bound.
-func (p *planner) setHarm(r table.Row, size resource.Vector) {
+// setInterference sets on each candidate the slowdown of its most affected service, with an upper bound for the task's
+// part.
+func (p *planner) setInterference(r table.Row, size resource.Vector) {
 	for i, w := range p.workers {
-		harm := 0.0
+		slowdown := 0.0
 		for service, band := range w.bands {
 			if !p.options.NoInterference {
-				more := p.model.SlowdownBound(service, r.Workload(), band, shareOf(size, w.capacity), p.now)
-				harm = max(harm, p.harms[i][service]+more)
+				added := p.model.SlowdownBound(service, r.Workload(), band, shareOf(size, w.capacity), p.now)
+				slowdown = max(slowdown, p.slowdowns[i][service]+added)
 			}
 		}
-		p.nodes[i].SetInterference(harm / w.bears)
+		p.candidates[i].SetInterference(slowdown / w.tolerance)
 	}
 }
 
@@ -201,22 +202,22 @@
 	return float64(size.Processors()) / float64(max(capacity.Processors(), 1))
 }
 
-// reserve keeps the node with the most room free for a task that has waited too long.
+// reserve closes the worker with the most free capacity to other tasks, for a task that has waited too long.
 func (p *planner) reserve(w *waitingJob) {
 	if !w.entry.Starved(p.now) {
 		return
 	}
-	best, room := -1, 0.0
-	for i, n := range p.workers {
-		if n.closed != placement.Chosen || n.pressed || !w.size.Fits(n.capacity) {
+	best, freeShare := -1, 0.0
+	for i, worker := range p.workers {
+		if worker.closed != placement.Chosen || worker.batchBlocked || !w.size.Fits(worker.capacity) {
 			continue
 		}
-		free := p.nodes[i].Free()
-		if share := free.DominantShare(n.capacity); best < 0 || share > room {
-			best, room = i, share
+		free := p.candidates[i].Free()
+		if share := free.DominantShare(worker.capacity); best < 0 || share > freeShare {
+			best, freeShare = i, share
 		}
 	}
 	if best >= 0 {
-		p.nodes[best].Close(placement.WorkerReserved)
+		p.candidates[best].Close(placement.WorkerReserved)
 	}
 }
--- a/internal/scheduling/doc.go
+++ b/internal/scheduling/doc.go
@@ -1,3 +1,3 @@
-// Package scheduling plans the next change of a cell's document: how many
-// replicas run, where waiting tasks go, and which tasks make room. It is pure.
+// Package scheduling plans the next change of a cell's document: the number of replicas, the workers of waiting tasks,
+// and evictions. It has no side effects.
 package scheduling
--- a/internal/scheduling/plan.go
+++ b/internal/scheduling/plan.go
@@ -8,10 +8,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// MaxAssignments is how many tasks one plan places at the most, so that a swap stays small.
+// MaxAssignments bounds the tasks that one plan places, so that a commit stays small.
 const MaxAssignments = 256
 
-// Plan is what a plan did to the document and why the rest waits.
+// Plan is the result of planning: the changes to the document, and the reasons why other tasks wait.
 type Plan struct {
 	assigned []task.Run
 	evict    []task.Run
@@ -19,18 +19,18 @@
 	changed  bool
 }
 
-// Waiting says why tasks of a job or service wait.
+// Waiting is the reason why tasks of a job or service wait.
 type Waiting struct {
-	reason placement.Reason
-	quota  bool
-	limit  bool
-	never  bool
+	reason   placement.Reason
+	quota    bool
+	limit    bool
+	tooLarge bool
 }
 
 // String returns the reason as a short sentence.
 func (w Waiting) String() string {
 	switch {
-	case w.never:
+	case w.tooLarge:
 		return "no worker of the cell is large enough, even empty"
 	case w.quota:
 		return "the team's quota is used up"
@@ -41,45 +41,45 @@
 	}
 }
 
-// Assigned returns the runs that were placed.
+// Assigned returns the placed runs.
 func (p *Plan) Assigned() []task.Run { return p.assigned }
 
-// Evict returns the runs of batch tasks that are to make room for services.
+// Evict returns the runs of batch tasks to evict for services.
 func (p *Plan) Evict() []task.Run { return p.evict }
 
-// Waiting returns why tasks wait, by job or service.
+// Waiting returns the reasons why tasks wait, by job or service.
 func (p *Plan) Waiting() map[string]Waiting { return p.waiting }
 
 // Changed reports whether the document was changed.
 func (p *Plan) Changed() bool { return p.changed }
 
-// planner holds what one plan works on.
+// planner is the state of one plan.
 type planner struct {
 	Snapshot
-	document *cell.Document
-	plan     *Plan
-	nodes    []placement.Candidate
-	places   map[string]int
-	tasks    []cell.Task
-	// harms is what the batch tasks of each worker are believed to slow each of its services by.
-	harms []map[string]float64
+	document    *cell.Document
+	plan        *Plan
+	candidates  []placement.Candidate
+	workerIndex map[string]int
+	tasks       []cell.Task
+	// slowdowns has the expected slowdown of each service on each worker by its batch tasks.
+	slowdowns []map[string]float64
 }
 
-// Make plans on the document, which it changes, and returns what it did.
+// Make plans on the document, which it changes, and returns the result.
 func Make(d *cell.Document, s Snapshot) *Plan {
 	p := &planner{Snapshot: s, document: d, plan: &Plan{waiting: make(map[string]Waiting)}}
 	p.scale()
 	p.tasks = d.Tasks()
-	p.buildNodes()
+	p.buildCandidates()
 	p.placeServices()
-	p.buildHarms()
+	p.buildSlowdowns()
 	if !s.options.ServicesOnly {
 		p.placeBatch()
 	}
 	return p.plan
 }
 
-// scale brings the replicas of each service to the cell's share, and retires services that left the table.
+// scale sets the replicas of each service to the cell's share, and retires services that left the table.
 func (p *planner) scale() {
 	wanted := make(map[string]int)
 	for _, r := range p.table.Rows() {
@@ -100,33 +100,33 @@
 	}
 }
 
-func (p *planner) buildNodes() {
-	p.nodes = make([]placement.Candidate, len(p.workers))
-	p.places = make(map[string]int, len(p.workers))
+func (p *planner) buildCandidates() {
+	p.candidates = make([]placement.Candidate, len(p.workers))
+	p.workerIndex = make(map[string]int, len(p.workers))
 	used := make([]resource.Vector, len(p.workers))
 	for i, w := range p.workers {
-		p.places[w.instance] = i
+		p.workerIndex[w.instance] = i
 	}
 	for _, t := range p.tasks {
-		if i, ok := p.places[t.Instance()]; ok && t.IsPlaced() {
+		if i, ok := p.workerIndex[t.Instance()]; ok && t.IsPlaced() {
 			used[i] = used[i].Add(t.Size())
 		}
 	}
 	for i, w := range p.workers {
-		p.nodes[i] = placement.NewCandidate(w.capacity, w.capacity.Sub(used[i]), w.rack)
-		p.nodes[i].Close(w.closed)
-		if w.pressed && !p.options.NoPressure {
-			p.nodes[i].BlockBatch()
+		p.candidates[i] = placement.NewCandidate(w.capacity, w.capacity.Sub(used[i]), w.rack)
+		p.candidates[i].Close(w.closed)
+		if w.batchBlocked && !p.options.NoPressure {
+			p.candidates[i].BlockBatch()
 		}
 	}
 }
 
-func (p *planner) assign(id task.ID, node int, size resource.Vector) bool {
-	run, err := p.document.Assign(id, p.workers[node].instance, size)
+func (p *planner) assign(id task.ID, worker int, size resource.Vector) bool {
+	run, err := p.document.Assign(id, p.workers[worker].instance, size)
 	if err != nil {
 		return false
 	}
-	p.nodes[node].Allocate(size)
+	p.candidates[worker].Allocate(size)
 	p.plan.assigned = append(p.plan.assigned, run)
 	p.plan.changed = true
 	return true
--- a/internal/scheduling/plan_test.go
+++ b/internal/scheduling/plan_test.go
@@ -33,7 +33,7 @@
 	return list
 }
 
-const small = `workload,kind,team,processors,memory_mb,replicas,runtime_s,urgent,accelerators,concurrency,evictions
+const testTable = `workload,kind,team,processors,memory_mb,replicas,runtime_s,urgent,accelerators,concurrency,evictions
 lookups,service,a,4,1000,2,,,,,
 mailing,batch,a,2,1000,,60,,,100,1
 rush,batch,b,2,1000,,60,yes,,100,1
@@ -47,7 +47,7 @@
 		jobs    map[string]int
 		workers []Worker
 		placed  map[string]int
-		why     map[string]string
+		reasons map[string]string
 	}{
 		{"replicas on different racks", nil, workers(4, resource.New(8000, 9000, 0)), map[string]int{"lookups": 2}, nil},
 		{"a second replica finds no worker", nil, workers(1, resource.New(8000, 9000, 0)), map[string]int{"lookups": 1},
@@ -60,7 +60,7 @@
 			map[string]string{"job-rush": "the team's quota is used up"}},
 		{"no accelerators", map[string]int{"training": 1}, workers(2, resource.New(8000, 9000, 0)), map[string]int{"training": 0},
 			map[string]string{"job-training": "no worker of the cell is large enough, even empty"}},
-		{"nobody is heard of", map[string]int{"mailing": 1}, closed(workers(2, resource.New(8000, 9000, 0))), map[string]int{"mailing": 0},
+		{"all workers are leaving", map[string]int{"mailing": 1}, closed(workers(2, resource.New(8000, 9000, 0))), map[string]int{"mailing": 0},
 			map[string]string{"job-mailing": "worker is leaving or not heard of"}},
 	}
 	for _, c := range cases {
@@ -69,11 +69,11 @@
 			for workload, tasks := range c.jobs {
 				d.Submit(cell.NewJob("job-"+workload, workload, "", tasks, now))
 			}
-			plan := Make(d, NewSnapshot(now, rows(t, small), c.workers, FullShare()))
+			plan := Make(d, NewSnapshot(now, rows(t, testTable), c.workers, FullShare()))
 			for workload, want := range c.placed {
 				assert.Equal(t, placedOf(d, workload), want, workload)
 			}
-			for name, want := range c.why {
+			for name, want := range c.reasons {
 				assert.Equal(t, plan.Waiting()[name].String(), want)
 			}
 		})
@@ -97,18 +97,18 @@
 	return count
 }
 
-func TestReplicaThatFitsNowhereMakesRoom(t *testing.T) {
+func TestUnplaceableReplicaEvictsBatchTasks(t *testing.T) {
 	d := cell.New()
 	d.Submit(cell.NewJob("job", "mailing", "", 4, now))
-	only := workers(1, resource.New(8000, 9000, 0))
+	single := workers(1, resource.New(8000, 9000, 0))
 	text := "workload,kind,team,processors,memory_mb,replicas,concurrency,evictions\nmailing,batch,a,2,1000,,100,1\n"
-	Make(d, NewSnapshot(now, rows(t, text), only, FullShare()))
+	Make(d, NewSnapshot(now, rows(t, text), single, FullShare()))
 	assert.Equal(t, placedOf(d, "mailing"), 4)
-	plan := Make(d, NewSnapshot(now, rows(t, text+"lookups,service,a,4,1000,1,,\n"), only, FullShare()))
+	plan := Make(d, NewSnapshot(now, rows(t, text+"lookups,service,a,4,1000,1,,\n"), single, FullShare()))
 	assert.Equal(t, len(plan.Evict()), 2)
 }
 
-func TestHarmKeepsTasksAway(t *testing.T) {
+func TestInterferencePreventsPlacement(t *testing.T) {
 	model := interference.New()
 	for range 50 {
 		model.Observe("lookups", 1, nil, 10*time.Millisecond, 100, now)
@@ -124,14 +124,14 @@
 	Make(d, NewSnapshot(now, rows(t, text), list, FullShare()).WithModel(model))
 	assert.Equal(t, len(d.PlacedOn("vm-00")), 0)
 	assert.Equal(t, len(d.PlacedOn("vm-01")), 3)
-	// A service far from its target bears more.
+	// A service far from its target tolerates more interference.
 	list[0] = list[0].WithTolerance(10)
 	d.Submit(cell.NewJob("more", "mailing", "", 3, now))
 	Make(d, NewSnapshot(now, rows(t, text), list, FullShare()).WithModel(model))
 	assert.Assert(t, len(d.PlacedOn("vm-00")) > 0)
 }
 
-// BenchmarkMake is the time of a plan for each task that it places, in a cell of 32 workers with 500 tasks.
+// BenchmarkMake measures the time of a plan for each placed task, in a cell of 32 workers with 500 tasks.
 func BenchmarkMake(b *testing.B) {
 	text := "workload,kind,team,processors,memory_mb,replicas,concurrency\nmailing,batch,a,1,100,,4096\n"
 	for i := range 3 {
@@ -145,16 +145,16 @@
 	weights := placement.DefaultWeights()
 	weights.MaxInterference = 1000
 	snapshot := NewSnapshot(now, t, list, FullShare()).WithWeights(weights)
-	full := cell.New()
-	full.Submit(cell.NewJob("base", "mailing", "", 404, now))
+	loaded := cell.New()
+	loaded.Submit(cell.NewJob("base", "mailing", "", 404, now))
 	for range 4 {
-		Make(full, snapshot)
+		Make(loaded, snapshot)
 	}
-	assert.Equal(b, len(full.Tasks()), 500)
-	full.Submit(cell.NewJob("more", "mailing", "", MaxAssignments, now))
+	assert.Equal(b, len(loaded.Tasks()), 500)
+	loaded.Submit(cell.NewJob("more", "mailing", "", MaxAssignments, now))
 	b.ReportAllocs()
 	for b.Loop() {
-		d := full.Clone()
+		d := loaded.Clone()
 		plan := Make(d, snapshot)
 		assert.Equal(b, len(plan.Assigned()), MaxAssignments)
 	}
--- a/internal/scheduling/services.go
+++ b/internal/scheduling/services.go
@@ -8,7 +8,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// placeServices places the waiting replicas, spread over nodes and racks.
+// placeServices places the waiting replicas, spread over workers and racks.
 func (p *planner) placeServices() {
 	for _, t := range p.tasks {
 		if !t.IsService() || t.IsRetired() || t.IsPlaced() || p.full() {
@@ -24,39 +24,39 @@
 
 func (p *planner) placeReplica(t cell.Task, r table.Row) {
 	p.setReplicas(r.Workload())
-	verdict := placement.Choose(placement.NewRequest(r.Size(), true), p.nodes, p.weights)
-	if verdict.Index() >= 0 {
-		if p.assign(t.ID(), verdict.Index(), r.Size()) {
+	result := placement.Choose(placement.NewRequest(r.Size(), true), p.candidates, p.weights)
+	if result.Index() >= 0 {
+		if p.assign(t.ID(), result.Index(), r.Size()) {
 			p.tasks = p.document.Tasks()
 		}
 		return
 	}
-	p.plan.waiting[r.Workload()] = Waiting{reason: verdict.MainReason(), never: !FitsEmptyWorker(r.Size(), p.workers)}
+	p.plan.waiting[r.Workload()] = Waiting{reason: result.MainReason(), tooLarge: !FitsEmptyWorker(r.Size(), p.workers)}
 	p.makeRoom(r.Size())
 }
 
-// setReplicas tells each node how many replicas of the service it and its rack run.
+// setReplicas sets on each candidate how many replicas of the service run on the worker and in its rack.
 func (p *planner) setReplicas(workload string) {
-	onNode := make([]int, len(p.workers))
+	onWorker := make([]int, len(p.workers))
 	onRack := make(map[int]int)
 	for _, t := range p.tasks {
-		i, ok := p.places[t.Instance()]
+		i, ok := p.workerIndex[t.Instance()]
 		if !ok || !t.IsService() || t.Workload() != workload {
 			continue
 		}
-		onNode[i]++
+		onWorker[i]++
 		onRack[p.workers[i].rack]++
 	}
 	for i, w := range p.workers {
-		p.nodes[i].SetReplicas(onNode[i], onRack[w.rack])
+		p.candidates[i].SetReplicas(onWorker[i], onRack[w.rack])
 	}
 }
 
-// makeRoom asks for evictions on the node where the fewest make a size fit.
+// makeRoom requests evictions on the worker where the fewest of them free enough capacity for size.
 func (p *planner) makeRoom(size resource.Vector) {
 	var best []task.Run
 	for i, w := range p.workers {
-		if w.closed != placement.Chosen || p.nodes[i].HasReplica() || !size.Fits(w.capacity) {
+		if w.closed != placement.Chosen || p.candidates[i].HasReplica() || !size.Fits(w.capacity) {
 			continue
 		}
 		victims, ok := p.victims(i, size)
@@ -67,14 +67,14 @@
 	p.plan.evict = append(p.plan.evict, best...)
 }
 
-func (p *planner) victims(node int, size resource.Vector) ([]task.Run, bool) {
-	free := p.nodes[node].Free()
+func (p *planner) victims(worker int, size resource.Vector) ([]task.Run, bool) {
+	free := p.candidates[worker].Free()
 	var victims []task.Run
 	for _, t := range p.tasks {
 		if size.Fits(free) {
 			break
 		}
-		if t.Instance() != p.workers[node].instance || !Evictable(t, p.table) {
+		if t.Instance() != p.workers[worker].instance || !Evictable(t, p.table) {
 			continue
 		}
 		victims = append(victims, t.Run())
@@ -83,7 +83,7 @@
 	return victims, size.Fits(free)
 }
 
-// Evictable reports whether the budget of a batch task allows one more eviction.
+// Evictable reports whether the eviction budget of a batch task allows one more eviction.
 func Evictable(t cell.Task, rows table.Table) bool {
 	if t.IsService() || !t.IsPlaced() {
 		return false
