--- a/internal/crash/attribution.go
+++ b/internal/crash/attribution.go
@@ -2,82 +2,82 @@
 
 import "time"
 
-// Attribution is what a crash says of one of the runs that the worker had.
+// Attribution is whether a run is a cause of a crash of its worker.
 type Attribution int
 
 //go:generate stringer -type=Attribution -linecomment -output=attribution_string.go
 
-// What a crash says of a run.
+// The attributions of a crash to a run.
 const (
 	NotCause      Attribution = iota // cleared
 	PossibleCause                    // possible
 	LikelyCause                      // likely
 )
 
-// Finding is what one crash says of one run.
+// Finding is the result of attributing one crash to one run.
 type Finding struct {
-	blame Attribution
-	// alone says that nothing else explains the crash.
-	alone bool
+	attribution Attribution
+	// sole is set if no other run can have caused the crash.
+	sole bool
 }
 
 // NewFinding returns a finding.
-func NewFinding(blame Attribution, alone bool) Finding { return Finding{blame: blame, alone: alone} }
+func NewFinding(a Attribution, sole bool) Finding { return Finding{attribution: a, sole: sole} }
 
 // Attribution returns whether the run is a cause.
-func (f Finding) Attribution() Attribution { return f.blame }
+func (f Finding) Attribution() Attribution { return f.attribution }
 
-// Sole reports whether nothing else explains the crash.
-func (f Finding) Sole() bool { return f.alone }
+// Sole reports whether no other run can have caused the crash.
+func (f Finding) Sole() bool { return f.sole }
 
-// Run is a run that a life of a worker had, or may have had, when it crashed.
+// Run is a run that an incarnation of a worker had, or may have had, when it crashed.
 type Run struct {
-	// answered says that the worker surely had the run, age for how long it was seen to have it.
-	answered bool
-	age      time.Duration
-	before   History
+	// acknowledged is set if the worker reported the run; age is the age that it last reported.
+	acknowledged bool
+	age          time.Duration
+	history      History
 }
 
-// NewRun returns a run with what was held against its task before.
-func NewRun(answered bool, age time.Duration, before History) Run {
-	return Run{answered: answered, age: age, before: before}
+// NewRun returns a run with the crash history of its task before the crash.
+func NewRun(acknowledged bool, age time.Duration, history History) Run {
+	return Run{acknowledged: acknowledged, age: age, history: history}
 }
 
-// fresh reports whether the worker crashed soon after the run began.
-func (r Run) fresh() bool { return r.answered && r.age < StartupTime }
+// starting reports whether the worker crashed during the run's startup.
+func (r Run) starting() bool { return r.acknowledged && r.age < StartupTime }
 
-// Attribute returns what one crash says of each run, in their order.
+// Attribute returns the finding of one crash for each run, in their order.
 //
-// Work that crashes its worker does so as it starts, so runs that have just begun explain a crash, and of these the ones that
-// are suspected most; what has run for a while beside them is cleared. Other runs that have just begun, and starts that got no
-// answer, are possible causes: were they cleared, work that always starts beside worse suspects would start for ever. Where
-// nothing has just begun, any run may be the cause.
+// Work that crashes its worker does so on startup, so the starting runs with the highest score are the likely causes,
+// and runs beside them that have survived startup are not a cause. Other starting runs, and unacknowledged starts, are
+// possible causes: if they were not, a task that always starts beside ones with a higher score could be restarted
+// without bound. Without any starting run, each run is a possible cause.
 //
-// Workers that crash together, at one moment, have a cause in common, which is likely none of the runs: then what had just begun is
-// a possible cause at the most.
-func Attribute(runs []Run, together bool) []Finding {
-	fresh, unanswered, worst := 0, 0, 0
+// Workers that crash simultaneously have a common cause, which is probably none of the runs: then starting runs are at
+// most possible causes.
+func Attribute(runs []Run, simultaneous bool) []Finding {
+	starting, unacknowledged, highestScore := 0, 0, 0
 	for _, r := range runs {
 		switch {
-		case r.fresh():
-			fresh++
-			worst = max(worst, r.before.Score())
-		case !r.answered:
-			unanswered++
+		case r.starting():
+			starting++
+			highestScore = max(highestScore, r.history.Score())
+		case !r.acknowledged:
+			unacknowledged++
 		}
 	}
-	explained := fresh+unanswered > 0
-	alone := fresh+unanswered == 1 || len(runs) == 1
+	anyStarting := starting+unacknowledged > 0
+	sole := starting+unacknowledged == 1 || len(runs) == 1
 	findings := make([]Finding, len(runs))
 	for i, r := range runs {
 		switch {
-		case together && (r.fresh() || !r.answered):
-			findings[i] = Finding{blame: PossibleCause}
-		case together:
-		case r.fresh() && r.before.Score() == worst:
-			findings[i] = Finding{blame: LikelyCause, alone: alone}
-		case r.fresh(), !r.answered, !explained:
-			findings[i] = Finding{blame: PossibleCause, alone: alone}
+		case simultaneous && (r.starting() || !r.acknowledged):
+			findings[i] = Finding{attribution: PossibleCause}
+		case simultaneous:
+		case r.starting() && r.history.Score() == highestScore:
+			findings[i] = Finding{attribution: LikelyCause, sole: sole}
+		case r.starting(), !r.acknowledged, !anyStarting:
+			findings[i] = Finding{attribution: PossibleCause, sole: sole}
 		}
 	}
 	return findings
--- a/internal/crash/doc.go
+++ b/internal/crash/doc.go
@@ -1,4 +1,4 @@
-// Package crash decides what a crash of a worker says of the tasks that ran there: who is suspected of it, who starts alone
-// next, and whose job is given up, by what is told of the crash (Suspicion) or because run after run is lost whatever is told
-// (Losses). It knows no clock and no network.
+// Package crash attributes crashes of workers to the tasks that ran there. It decides which tasks are suspects and
+// start alone, and which jobs are given up: by the crash history of a task (History), or because its runs are lost
+// repeatedly, whatever the cause (Losses). It uses no clock and no network.
 package crash
--- a/internal/crash/history.go
+++ b/internal/crash/history.go
@@ -3,86 +3,87 @@
 import "time"
 
 const (
-	// StartupTime is how long a run must live to have outlived its start: many times as long as work that fails as it starts takes, and
-	// short, since a suspect holds a worker up for that long.
+	// StartupTime is the age at which a run has survived startup: many times the time until work that fails on startup
+	// fails, and short, since a suspect blocks other starts on its worker until then.
 	StartupTime = 200 * time.Millisecond
-	// StableAge is how long a run must be seen to live for what was held against its task by name to be dropped: longer than a worker
-	// takes to come back after a crash.
+	// StableAge is the reported age of a run at which the crashes attributed to its task are cleared: longer than a
+	// worker takes to restart after a crash.
 	StableAge = 5 * time.Second
-	// enoughAlone is how many crashes give a task up where the last had no other explanation. The platform allows two; a
-	// bystander of the first is given up only if another crash strikes within Soon of its start alone.
-	enoughAlone = 2
-	// enough is how many crashes give a task up, whatever else may explain them: the platform allows five starts of work that
-	// crashes its workers, and one more start may be on its way when the fourth crash is known.
-	enough = 4
-	// doubtsToSuspect is how many crashes that a task may have caused make it a suspect; one may be chance.
-	doubtsToSuspect = 2
+	// maxSoleCrashes is the number of crashes after which a task is given up if the last one has no other possible
+	// cause. The platform allows two; a task that ran beside the cause of the first one is given up only if another
+	// crash occurs within StartupTime of its start alone.
+	maxSoleCrashes = 2
+	// maxCrashes is the number of crashes after which a task is given up in any case: the platform allows five starts
+	// of work that crashes its workers, and another start may be under way when the fourth crash is reported.
+	maxCrashes = 4
+	// suspectThreshold is the number of crashes with the task as a possible cause that make it a suspect; a single one
+	// may be a coincidence.
+	suspectThreshold = 2
 )
 
-// History is what is held against a task, since a run of it last lived for long.
+// History is the crash history of a task since a run of it last reached a stable age.
 type History struct {
-	crashes int
-	doubts  int
-	losses  Losses
+	likely   int
+	possible int
+	losses   Losses
 }
 
-// NewHistory returns the suspicion after so many crashes of which the task is a likely cause, and so many of which it is a
-// possible one.
-func NewHistory(crashes, doubts int) History { return History{crashes: crashes, doubts: doubts} }
+// NewHistory returns a history with the numbers of crashes of which the task is a likely and a possible cause.
+func NewHistory(likely, possible int) History { return History{likely: likely, possible: possible} }
 
-// WithLosses returns the suspicion with losses in place of its own.
-func (s History) WithLosses(l Losses) History {
-	s.losses = l
-	return s
+// WithLosses returns the history with other losses.
+func (h History) WithLosses(l Losses) History {
+	h.losses = l
+	return h
 }
 
-// LikelyCrashes returns how many crashes the task is a likely cause of.
-func (s History) LikelyCrashes() int { return s.crashes }
+// LikelyCrashes returns the number of crashes of which the task is a likely cause.
+func (h History) LikelyCrashes() int { return h.likely }
 
-// PossibleCrashes returns how many crashes the task is a possible cause of.
-func (s History) PossibleCrashes() int { return s.doubts }
+// PossibleCrashes returns the number of crashes of which the task is a possible cause.
+func (h History) PossibleCrashes() int { return h.possible }
 
-// Losses returns the runs that were lost with their workers, whoever is held responsible.
-func (s History) Losses() Losses { return s.losses }
+// Losses returns the runs that were lost with their workers, whatever the cause.
+func (h History) Losses() Losses { return h.losses }
 
-// Suspect reports whether the task is to start alone, so that what follows tells.
-func (s History) Suspect() bool { return s.crashes > 0 || s.doubts >= doubtsToSuspect }
+// Suspect reports whether the task must start alone, so that the next crash can be attributed.
+func (h History) Suspect() bool { return h.likely > 0 || h.possible >= suspectThreshold }
 
-// Score tells suspicions apart; the task with the highest is the likeliest cause.
-func (s History) Score() int { return s.crashes + s.doubts }
+// Score ranks histories; the task with the highest score is the most likely cause.
+func (h History) Score() int { return h.likely + h.possible }
 
-// After returns the suspicion after one more crash.
-func (s History) After(f Finding) History {
-	switch f.blame {
+// After returns the history after one more crash.
+func (h History) After(f Finding) History {
+	switch f.attribution {
 	case LikelyCause:
-		s.crashes++
+		h.likely++
 	case PossibleCause:
-		s.doubts++
+		h.possible++
 	case NotCause:
 	}
-	return s
+	return h
 }
 
-// Survived returns what is left of the suspicion once a run was seen to live for a time.
-func (s History) Survived(age time.Duration) History {
+// Survived returns the history once a run has reached an age.
+func (h History) Survived(age time.Duration) History {
 	switch {
-	case age >= s.losses.forgivenAfter():
+	case age >= h.losses.clearedAfter():
 		return History{}
 	case age >= StableAge:
-		return History{losses: s.losses}
+		return History{losses: h.losses}
 	case age >= StartupTime:
-		return History{doubts: s.doubts, losses: s.losses}
+		return History{possible: h.possible, losses: h.losses}
 	}
-	return s
+	return h
 }
 
-// GivesUp reports whether the task is given up by a finding, which the suspicion counts already.
-func (s History) GivesUp(f Finding) bool {
+// GivesUp reports whether the task is given up after a finding that the history already includes.
+func (h History) GivesUp(f Finding) bool {
 	switch {
-	case f.blame == NotCause:
+	case f.attribution == NotCause:
 		return false
-	case f.alone && s.crashes >= enoughAlone:
+	case f.sole && h.likely >= maxSoleCrashes:
 		return true
 	}
-	return s.crashes+s.doubts >= enough
+	return h.likely+h.possible >= maxCrashes
 }
--- a/internal/crash/losses.go
+++ b/internal/crash/losses.go
@@ -3,112 +3,116 @@
 import "time"
 
 const (
-	// mostAlike is how many runs of a task may be lost alike on end: the platform allows five starts of work that crashes its workers.
-	mostAlike = 5
-	// leastOver is how many of their workers must surely have crashed: the platform lets no task be given up for fewer.
-	leastOver = 2
-	// mostLost bounds all losses on end, alike or not, whether any of the workers surely crashed or not: a task that takes the VM along
-	// for good stays bounded by it, and cuts do not strike one task that often within its starts.
-	mostLost = 8
-	// clearlyLonger is by how much lives differ that are not alike: work that crashes its workers takes about the same time each time.
-	clearlyLonger = 2
-	// longEnough forgives all losses, whatever was lost before: work that takes longer to crash its workers is bounded by time, at
-	// two starts a minute.
-	longEnough = 30 * time.Second
+	// maxSimilar bounds the consecutive losses of a task with similar lifetimes: the platform allows five starts of
+	// work that crashes its workers.
+	maxSimilar = 5
+	// minCrashed is the number of confirmed worker crashes among them: the platform allows no task to be given up for
+	// fewer.
+	minCrashed = 2
+	// maxLosses bounds all consecutive losses, similar or not, with confirmed crashes or not: it bounds a task that
+	// takes the whole VM down permanently, and network partitions do not hit one task that often.
+	maxLosses = 8
+	// distinctFactor is the factor by which lifetimes differ that are not similar: work that crashes its workers takes
+	// about the same time each time.
+	distinctFactor = 2
+	// maxClearedAfter is the age that clears losses of any lifetime: work that takes longer to crash its workers is
+	// bounded by time, at two starts a minute.
+	maxClearedAfter = 30 * time.Second
 )
 
 // Loss is a run that was lost with its worker.
 type Loss struct {
-	over, told, shared bool
-	lived              time.Duration
+	crashed, reported, simultaneous bool
+	lifetime                        time.Duration
 }
 
-// ReportedLoss returns the loss of a run that lived for a time, as the agent beside its worker tells; a shared one struck many workers
-// at one moment.
-func ReportedLoss(lived time.Duration, shared bool) Loss {
-	return Loss{over: true, told: true, shared: shared, lived: lived}
+// ReportedLoss returns the loss of a run with a lifetime reported by the agent on its worker; simultaneous is set if
+// many workers crashed at the same time.
+func ReportedLoss(lifetime time.Duration, simultaneous bool) Loss {
+	return Loss{crashed: true, reported: true, simultaneous: simultaneous, lifetime: lifetime}
 }
 
-// UnreportedLoss returns the loss of a run with a life of a worker that is surely over, though nobody tells of it.
-func UnreportedLoss() Loss { return Loss{over: true} }
+// UnreportedLoss returns the loss of a run with a worker incarnation that has ended without a report.
+func UnreportedLoss() Loss { return Loss{crashed: true} }
 
-// UnreachableLoss returns the loss of a run with a worker that was lost sight of; it may have crashed or may run on.
+// UnreachableLoss returns the loss of a run with an unreachable worker; the worker may have crashed or still run.
 func UnreachableLoss() Loss { return Loss{} }
 
-// Crashed reports whether the worker surely crashed.
-func (l Loss) Crashed() bool { return l.over }
+// Crashed reports whether the worker is confirmed to have crashed.
+func (l Loss) Crashed() bool { return l.crashed }
 
-// Losses are the runs of a task that were lost with their workers on end. They need no witness: whoever is held responsible, if
-// anybody tells at all, a task is not started for ever where none of its runs is done or lives for long.
+// Losses are the consecutive runs of a task that were lost with their workers. They do not depend on attribution or on
+// crash reports, so that a task whose runs neither complete nor reach a stable age is not started without bound.
 type Losses struct {
-	// all counts them, over those with a worker that surely crashed.
-	all, over int
-	// alike counts those that lived about as long as the longest, blind those of which that is not known.
-	alike, blind int
-	longest      time.Duration
+	// total counts all losses, crashed those with a confirmed crash of the worker.
+	total, crashed int
+	// similar counts the losses with a lifetime similar to the longest, unknownLifetime those without a known
+	// lifetime.
+	similar, unknownLifetime int
+	longestLifetime          time.Duration
 }
 
-// NewLosses returns losses as they were counted.
-func NewLosses(all, over, alike, blind int, longest time.Duration) Losses {
-	return Losses{all: all, over: over, alike: alike, blind: blind, longest: longest}
+// NewLosses returns losses with stored counts.
+func NewLosses(total, crashed, similar, unknownLifetime int, longestLifetime time.Duration) Losses {
+	return Losses{total: total, crashed: crashed, similar: similar, unknownLifetime: unknownLifetime, longestLifetime: longestLifetime}
 }
 
-// Total returns how many runs were lost.
-func (l Losses) Total() int { return l.all }
+// Total returns the number of lost runs.
+func (l Losses) Total() int { return l.total }
 
-// Crashed returns with how many of them a worker surely crashed.
-func (l Losses) Crashed() int { return l.over }
+// Crashed returns the number of lost runs whose worker is confirmed to have crashed.
+func (l Losses) Crashed() int { return l.crashed }
 
-// Similar returns how many lived about as long as the longest.
-func (l Losses) Similar() int { return l.alike }
+// Similar returns the number of lost runs with a lifetime similar to the longest.
+func (l Losses) Similar() int { return l.similar }
 
-// UnknownLifetime returns of how many it is not known how long they lived.
-func (l Losses) UnknownLifetime() int { return l.blind }
+// UnknownLifetime returns the number of lost runs without a known lifetime.
+func (l Losses) UnknownLifetime() int { return l.unknownLifetime }
 
-// LongestLifetime returns how long the longest of the others lived.
-func (l Losses) LongestLifetime() time.Duration { return l.longest }
+// LongestLifetime returns the longest known lifetime.
+func (l Losses) LongestLifetime() time.Duration { return l.longestLifetime }
 
-// Add returns the losses after one more.
-func (l Losses) Add(one Loss) Losses {
-	l.all++
-	if one.over {
-		l.over++
+// Add returns the losses with one more.
+func (l Losses) Add(loss Loss) Losses {
+	l.total++
+	if loss.crashed {
+		l.crashed++
 	}
-	if !one.told {
-		l.blind++
+	if !loss.reported {
+		l.unknownLifetime++
 		return l
 	}
-	lived, longest := max(one.lived, StartupTime), max(l.longest, StartupTime)
+	lifetime, longestLifetime := max(loss.lifetime, StartupTime), max(l.longestLifetime, StartupTime)
 	switch {
-	case one.shared, lived*clearlyLonger < longest:
-	case lived > clearlyLonger*longest:
-		l.alike = 1
+	case loss.simultaneous, lifetime*distinctFactor < longestLifetime:
+	case lifetime > distinctFactor*longestLifetime:
+		l.similar = 1
 	default:
-		l.alike++
+		l.similar++
 	}
-	l.longest = max(l.longest, one.lived)
+	l.longestLifetime = max(l.longestLifetime, loss.lifetime)
 	return l
 }
 
-// Resolve returns the losses once it is known whether a worker that was lost sight of has crashed.
+// Resolve returns the losses once it is known whether an unreachable worker has crashed.
 func (l Losses) Resolve(crashed bool) Losses {
 	if crashed {
-		l.over++
+		l.crashed++
 		return l
 	}
-	l.all, l.blind = l.all-1, l.blind-1
+	l.total, l.unknownLifetime = l.total-1, l.unknownLifetime-1
 	return l
 }
 
-// Exhausted reports whether the task is not to be started any more.
+// Exhausted reports whether the task must not be started again.
 func (l Losses) Exhausted() bool {
-	return l.over >= leastOver && l.alike+l.blind >= mostAlike || l.all >= mostLost
+	return l.crashed >= minCrashed && l.similar+l.unknownLifetime >= maxSimilar || l.total >= maxLosses
 }
 
-// forgivenAfter returns how long a run must be seen to live for the losses to be forgiven.
-func (l Losses) forgivenAfter() time.Duration {
-	if l.blind > 0 {
-		return longEnough
+// clearedAfter returns the reported age of a run at which the losses are cleared.
+func (l Losses) clearedAfter() time.Duration {
+	if l.unknownLifetime > 0 {
+		return maxClearedAfter
 	}
-	return min(max(StableAge, clearlyLonger*l.longest), longEnough)
+	return min(max(StableAge, distinctFactor*l.longestLifetime), maxClearedAfter)
 }
--- a/internal/crash/losses_test.go
+++ b/internal/crash/losses_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestLosses plays what becomes of the runs of a task: each file of the archive is one task, each line a run that was lost, as "told AGE",
-// "shared AGE", "untold" or "unseen", or what was learned of one that was unseen; then what is held against the task.
+// TestLosses replays the losses of a task: each file of the archive is one task, each line a lost run as "told AGE",
+// "shared AGE", "untold" or "unseen", or the later outcome of an unseen one; then the resulting counts.
 func TestLosses(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/losses/alike.txtar")
 	assert.NilError(t, err)
@@ -20,8 +20,8 @@
 		t.Run(f.Name, func(t *testing.T) {
 			var l Losses
 			for n, line := range strings.Split(strings.TrimSpace(string(f.Data)), "\n") {
-				what, expected, _ := strings.Cut(line, " -> ")
-				l = afterLine(t, l, strings.Fields(what))
+				event, expected, _ := strings.Cut(line, " -> ")
+				l = applyLine(t, l, strings.Fields(event))
 				got := fmt.Sprintf("all=%d over=%d alike=%d blind=%d", l.Total(), l.Crashed(), l.Similar(), l.UnknownLifetime())
 				if l.Exhausted() {
 					got += " spent"
@@ -32,7 +32,7 @@
 	}
 }
 
-func afterLine(t *testing.T, l Losses, words []string) Losses {
+func applyLine(t *testing.T, l Losses, words []string) Losses {
 	t.Helper()
 	switch words[0] {
 	case "untold":
@@ -47,35 +47,36 @@
 	return l.Add(ReportedLoss(age, words[0] == "shared"))
 }
 
-// TestWorkThatTakesAsLongToCrashEachWorkerStartsFiveTimesAtTheMost, whichever of its crashes are told, and although each of its runs is
-// seen to live until then.
-func TestWorkThatTakesAsLongToCrashEachWorkerStartsFiveTimesAtTheMost(t *testing.T) {
+// TestTaskWithSimilarLifetimesStartsAtMostFiveTimes checks the bound for any mix of reported and unreported crashes,
+// although each run reaches its age before the crash.
+func TestTaskWithSimilarLifetimesStartsAtMostFiveTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		usual := time.Duration(rapid.IntRange(0, int(longEnough/time.Millisecond/2)).Draw(t, "ms")) * time.Millisecond
-		var held History
-		for range mostAlike {
-			age := usual * time.Duration(rapid.IntRange(75, 125).Draw(t, "percent")) / 100
-			held = held.Survived(age)
+		lifetime := time.Duration(rapid.IntRange(0, int(maxClearedAfter/time.Millisecond/2)).Draw(t, "ms")) * time.Millisecond
+		var history History
+		for range maxSimilar {
+			age := lifetime * time.Duration(rapid.IntRange(75, 125).Draw(t, "percent")) / 100
+			history = history.Survived(age)
 			loss := ReportedLoss(age, false)
 			if rapid.Bool().Draw(t, "untold") {
 				loss = UnreportedLoss()
 			}
-			held = held.WithLosses(held.Losses().Add(loss))
+			history = history.WithLosses(history.Losses().Add(loss))
 		}
-		if !held.Losses().Exhausted() {
-			t.Fatalf("started more than %d times: %+v", mostAlike, held)
+		if !history.Losses().Exhausted() {
+			t.Fatalf("started more than %d times: %+v", maxSimilar, history)
 		}
 	})
 }
 
-// TestLossesAreForgivenOnceARunLivesForClearlyLonger, or for long enough.
-func TestLossesAreForgivenOnceARunLivesForClearlyLonger(t *testing.T) {
-	told := func(age time.Duration) History { return History{}.WithLosses(Losses{}.Add(ReportedLoss(age, false))) }
-	assert.Equal(t, told(0).Survived(StableAge), History{})
-	assert.Equal(t, told(4*time.Second).Survived(8*time.Second-1), told(4*time.Second))
-	assert.Equal(t, told(4*time.Second).Survived(8*time.Second), History{})
-	assert.Equal(t, told(time.Hour).Survived(longEnough), History{})
-	blind := History{}.WithLosses(Losses{}.Add(UnreportedLoss()))
-	assert.Equal(t, blind.Survived(longEnough-1), blind, "how long it lived is not known")
-	assert.Equal(t, blind.Survived(longEnough), History{})
+// TestLossesAreClearedByALongerRun checks the clearing by a clearly longer run, and by one that reaches
+// maxClearedAfter.
+func TestLossesAreClearedByALongerRun(t *testing.T) {
+	reported := func(age time.Duration) History { return History{}.WithLosses(Losses{}.Add(ReportedLoss(age, false))) }
+	assert.Equal(t, reported(0).Survived(StableAge), History{})
+	assert.Equal(t, reported(4*time.Second).Survived(8*time.Second-1), reported(4*time.Second))
+	assert.Equal(t, reported(4*time.Second).Survived(8*time.Second), History{})
+	assert.Equal(t, reported(time.Hour).Survived(maxClearedAfter), History{})
+	unknown := History{}.WithLosses(Losses{}.Add(UnreportedLoss()))
+	assert.Equal(t, unknown.Survived(maxClearedAfter-1), unknown, "the lifetime is unknown")
+	assert.Equal(t, unknown.Survived(maxClearedAfter), History{})
 }
