--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,3 +1,3 @@
-// Package admission decides which requests a replica runs, which wait and
-// which are refused, and tells the refused when to return.
+// Package admission decides which requests a replica runs, which wait and which are refused, and computes the retry
+// delay of refused requests.
 package admission
--- a/internal/hall/closures_test.go
+++ b/internal/hall/closures_test.go
@@ -23,54 +23,54 @@
 	testWithin = 5 * time.Second
 )
 
-func change(t *testing.T, store *kvtest.Store, txn kv.Txn) {
+func commit(t *testing.T, store *kvtest.Store, txn kv.Txn) {
 	t.Helper()
 	_, err := store.Commit(context.Background(), txn)
 	assert.NilError(t, err)
 }
 
-func closing(hall string) kv.Txn {
+func closeTxn(hall string) kv.Txn {
 	return kv.Txn{Puts: []kv.Put{{Key: testPrefix + hall, Value: []byte("{odd")}}}
 }
 
-// closedHalls returns the closed halls in order.
+// closedHalls returns the closed halls, sorted.
 func closedHalls(c *Closures) []string { return slices.Sorted(maps.Keys(c.Closed())) }
 
-func opening(hall string) kv.Txn { return kv.Txn{Removes: []string{testPrefix + hall}} }
+func openTxn(hall string) kv.Txn { return kv.Txn{Removes: []string{testPrefix + hall}} }
 
-func TestClosuresAreHeardOfAndTakenBack(t *testing.T) {
+func TestClosuresAreFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
-		change(t, store, closing("north"))
-		change(t, store, kv.Txn{Puts: []kv.Put{{Key: testPrefix}, {Key: "closing"}}})
+		commit(t, store, closeTxn("north"))
+		commit(t, store, kv.Txn{Puts: []kv.Put{{Key: testPrefix}, {Key: "closing"}}})
 		c := New(store, testPrefix, testWithin, &boottimetest.Clock{}, logging.Discard())
-		assert.Assert(t, c.Stale(), "nothing was read yet")
+		assert.Assert(t, c.Stale(), "nothing is loaded yet")
 		assert.NilError(t, c.Load(t.Context()))
-		assert.Assert(t, c.Status("north").Closed, "it lay there before, with an odd value")
+		assert.Assert(t, c.Status("north").Closed, "closed before the load, with an unusual value")
 		assert.Assert(t, !c.Status("").Closed)
 
 		changes := 0
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); c.Run(ctx, func() { changes++ }) }()
-		change(t, store, closing("south"))
+		commit(t, store, closeTxn("south"))
 		synctest.Wait()
 		assert.DeepEqual(t, closedHalls(c), []string{"north", "south"})
 		before := c.Status("north").Revision
-		change(t, store, opening("north"))
+		commit(t, store, openTxn("north"))
 		synctest.Wait()
 		assert.Assert(t, !c.Status("north").Closed && c.Status("south").Closed)
 		assert.Assert(t, c.Status("north").Revision > before)
 		assert.Equal(t, changes, 2)
 
-		// Closed and opened in a history that is forgotten.
+		// Closed and reopened within a compacted part of the history.
 		store.Forget()
-		change(t, store, opening("south"))
-		change(t, store, closing("east"))
+		commit(t, store, openTxn("south"))
+		commit(t, store, closeTxn("east"))
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, closedHalls(c), []string{"east"})
 		time.Sleep(time.Minute)
-		assert.Assert(t, !c.Stale(), "watches that hear nothing confirm it")
+		assert.Assert(t, !c.Stale(), "watches without events confirm the closures")
 		cancel()
 		<-ended
 		time.Sleep(StaleAfter(testWithin) + time.Millisecond)
@@ -78,7 +78,7 @@
 	})
 }
 
-// silentOnce is a store of which one watch hears nothing until its caller gives it up.
+// silentOnce is a store with one watch that does not respond until its caller cancels it.
 type silentOnce struct {
 	*kvtest.Store
 	silent bool
@@ -92,13 +92,13 @@
 	s.silent = false
 	const slack = 400 * time.Millisecond
 	time.Sleep(wait + slack)
-	return nil, after, fault.New(fault.OutcomeUnknown, "the connection went silent")
+	return nil, after, fault.New(fault.OutcomeUnknown, "the connection stopped responding")
 }
 
 func TestOneSilentWatchDoesNotMakeClosuresStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &silentOnce{Store: kvtest.New()}
-		change(t, store.Store, closing("north"))
+		commit(t, store.Store, closeTxn("north"))
 		c := New(store, testPrefix, testWithin, &boottimetest.Clock{}, logging.Discard())
 		assert.NilError(t, c.Load(t.Context()))
 		ctx, cancel := context.WithCancel(t.Context())
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestWhatWasOvertakenIsLeft(t *testing.T) {
+func TestOlderChangeIsIgnored(t *testing.T) {
 	c := New(kvtest.New(), testPrefix, testWithin, &boottimetest.Clock{}, logging.Discard())
 	closed := kv.NewEvent(kv.NewItem(testPrefix+"north", nil, 7), false)
 	assert.Assert(t, c.apply(follow.Change{Events: []kv.Event{closed}, Whole: true, At: 7, Asked: time.Now()}))
@@ -123,11 +123,12 @@
 	assert.Equal(t, c.Status("north"), Status{Closed: true, Revision: 7})
 }
 
-// TestWhatWasConfirmedBeforeASuspensionIsStale: a hall may have been closed meanwhile.
-func TestWhatWasConfirmedBeforeASuspensionIsStale(t *testing.T) {
+// TestClosuresAreStaleAfterSuspension guards against using closures from before a suspension, in which a hall may have
+// been closed.
+func TestClosuresAreStaleAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock, store := &boottimetest.Clock{}, kvtest.New()
-		change(t, store, closing("north"))
+		commit(t, store, closeTxn("north"))
 		c := New(store, testPrefix, testWithin, clock, logging.Discard())
 		assert.NilError(t, c.Load(t.Context()))
 		assert.Assert(t, !c.Stale())
--- a/internal/hall/doc.go
+++ b/internal/hall/doc.go
@@ -1,2 +1,2 @@
-// Package hall follows which halls the operators have closed, so that their workers get nothing new.
+// Package hall follows the halls that the operators have closed, whose workers get no new tasks.
 package hall
--- a/internal/interference/interference.go
+++ b/internal/interference/interference.go
@@ -156,7 +156,8 @@
 	m.estimates[key] = e
 }
 
-// estimateAt returns the estimate of a pair, decayed towards the prior by its age.
+// estimateAt returns the estimate of a pair, decayed towards the prior by its age; that of an unknown band is derived
+// from the next lower known band, and is at least as high.
 func (m *Model) estimateAt(key Key, now time.Time) estimate {
 	e, ok := m.estimates[key]
 	if !ok {
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -1,4 +1,3 @@
-// Package ledger keeps what a VM is committed to. An agent admits a run only
-// through it, so that no lead, however late or wrong, commits the VM beyond
-// what it has or runs a task twice.
+// Package ledger records the allocations of a VM. An agent admits runs only through it, so that no leader, even an
+// outdated or faulty one, can exceed the VM's capacity or run a task twice.
 package ledger
--- a/internal/pacing/doc.go
+++ b/internal/pacing/doc.go
@@ -1,2 +1,2 @@
-// Package pacing decides at which pace the tasks that fill a worker run beside those that serve; it is pure.
+// Package pacing decides the pace of best-effort tasks beside serving tasks on a worker. It has no side effects.
 package pacing
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -7,91 +7,95 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// ViolationGrace is how long a serving task may be over its target before what is known to slow it must give way, and nothing that
-// fills may be added beside it. The platform's owners allow some four seconds, and a figure is half a second old.
+// ViolationGrace is how long a serving task may violate its target before images that are known to slow it are
+// throttled and no best-effort task may be added beside it. The owners of the platform allow about four seconds, and a
+// measurement is half a second old.
 const ViolationGrace = 1200 * time.Millisecond
 
 const (
 	// Full is the highest pace in percent.
 	Full = 100
-	// Min is the lowest pace; a task does not disturb at it and still keeps its memory.
+	// Min is the lowest pace, at which a task does not interfere but keeps its memory.
 	Min = 0
-	// rounds bounds the search; it ends earlier where no pace changes.
-	rounds = 4
-	// mustNot is what it is worth that a task which was over for long is not over any more: more than all that fills.
-	mustNot = 50.0
+	// maxRounds bounds the search, which ends earlier if no pace changes.
+	maxRounds = 4
+	// sustainedFactor multiplies the cost of a sustained violation so that it exceeds the value of all best-effort
+	// work.
+	sustainedFactor = 50.0
 )
 
-// choices are the paces that are weighed; the harm grows faster than the work, so that many tasks at a low pace may be better than one.
-var choices = []int{Full, 75, 50, 30, 15, Min}
+// paceChoices are the paces to choose from. Interference grows faster than the work done, so many tasks at a low pace
+// may be better than one at full pace.
+var paceChoices = []int{Full, 75, 50, 30, 15, Min}
 
-// ServingTask is a task that serves: the headroom that it likely has soon without neighbors, its standard deviation, and by how
-// much each filling image lowers it where it uses a whole worker.
+// ServingTask is a serving task with its expected headroom without neighbors, the standard deviation, and the
+// interference weights of the best-effort images.
 type ServingTask struct {
 	Headroom  float64
 	Deviation float64
 	Weights   map[string]float64
-	// SustainedViolation says that it has been over its target for so long that what is known to slow it must give way, Longer that all
-	// must.
+	// SustainedViolation is set if the task has violated its target for so long that the images known to slow it must
+	// be throttled, ProlongedViolation if all must be.
 	SustainedViolation bool
 	ProlongedViolation bool
 }
 
-// BestEffort is an image that fills: the share of the worker that it would use at full pace.
+// BestEffort is a best-effort image with the share of the worker that it would use at full pace.
 type BestEffort struct {
 	Image     string
 	FullShare float64
 }
 
-// starvedWorth is by how much more the work of batch counts where it is starved altogether.
-const starvedWorth = 1.5
+// backlogValue is the relative increase of the value of best-effort work at a full batch backlog.
+const backlogValue = 1.5
 
-// Choose returns the pace of each filling image in percent, such that the work done outweighs the harm to what serves by
-// as much as possible; batch that is starved, from 0 to 1, counts more.
-func Choose(served []ServingTask, filling []BestEffort, starved float64) map[string]int {
-	worth := (1 + starvedWorth*starved) / pressure.ViolationCost
-	if slices.ContainsFunc(served, func(s ServingTask) bool { return s.ProlongedViolation }) {
-		return stopAll(filling)
+// Choose returns the pace of each best-effort image in percent that maximizes the value of the work done minus the
+// cost of target violations; the value rises with the batch backlog, from 0 to 1.
+func Choose(serving []ServingTask, bestEffort []BestEffort, backlog float64) map[string]int {
+	fullValue := (1 + backlogValue*backlog) / pressure.ViolationCost
+	if slices.ContainsFunc(serving, func(s ServingTask) bool { return s.ProlongedViolation }) {
+		return stopAll(bestEffort)
 	}
-	best := climb(served, filling, Full, worth)
-	other := climb(served, filling, Min, worth)
-	if value(served, filling, other, worth) > value(served, filling, best, worth) {
+	best := hillClimb(serving, bestEffort, Full, fullValue)
+	other := hillClimb(serving, bestEffort, Min, fullValue)
+	if value(serving, bestEffort, other, fullValue) > value(serving, bestEffort, best, fullValue) {
 		best = other
 	}
-	paces := make(map[string]int, len(filling))
-	for i, f := range filling {
-		paces[f.Image] = best[i]
+	paces := make(map[string]int, len(bestEffort))
+	for i, b := range bestEffort {
+		paces[b.Image] = best[i]
 	}
 	return paces
 }
 
 // stopAll returns the lowest pace for each image.
-func stopAll(filling []BestEffort) map[string]int {
-	paces := make(map[string]int, len(filling))
-	for _, f := range filling {
-		paces[f.Image] = Min
+func stopAll(bestEffort []BestEffort) map[string]int {
+	paces := make(map[string]int, len(bestEffort))
+	for _, b := range bestEffort {
+		paces[b.Image] = Min
 	}
 	return paces
 }
 
-// climb changes one pace at a time, from all at one pace, for as long as it helps; worth is that of a worker full of batch.
-func climb(served []ServingTask, filling []BestEffort, from int, worth float64) []int {
-	paces := make([]int, len(filling))
+// hillClimb starts with all images at one pace and changes one pace at a time while the value rises; fullValue is the
+// value of a worker full of best-effort work.
+func hillClimb(serving []ServingTask, bestEffort []BestEffort, start int, fullValue float64) []int {
+	paces := make([]int, len(bestEffort))
 	for i := range paces {
-		paces[i] = from
+		paces[i] = start
 	}
-	highest := value(served, filling, paces, worth)
-	for range rounds {
+	best := value(serving, bestEffort, paces, fullValue)
+	for range maxRounds {
 		changed := false
 		for i := range paces {
-			kept := paces[i]
-			for _, choice := range choices {
+			chosen := paces[i]
+			for _, choice := range paceChoices {
 				paces[i] = choice
-				if v := value(served, filling, paces, worth); v > highest {
-					highest, kept, changed = v, choice, true
+				if v := value(serving, bestEffort, paces, fullValue); v > best {
+					best, chosen, changed = v, choice, true
 				}
 			}
-			paces[i] = kept
+			paces[i] = chosen
 		}
 		if !changed {
 			break
@@ -100,26 +104,26 @@
 	return paces
 }
 
-// value weighs the work done at some paces against the tasks that are likely over their targets.
-func value(served []ServingTask, filling []BestEffort, paces []int, worth float64) float64 {
+// value returns the value of the work done at the paces minus the expected target violations.
+func value(serving []ServingTask, bestEffort []BestEffort, paces []int, fullValue float64) float64 {
 	total := 0.0
-	for i, f := range filling {
-		total += worth * f.at(paces[i])
+	for i, b := range bestEffort {
+		total += fullValue * b.shareAt(paces[i])
 	}
-	for _, s := range served {
-		pressed := 0.0
-		for i, f := range filling {
-			pressed += s.Weights[f.Image] * f.at(paces[i])
+	for _, s := range serving {
+		loss := 0.0
+		for i, b := range bestEffort {
+			loss += s.Weights[b.Image] * b.shareAt(paces[i])
 		}
-		// Only what fills is held against it: what would be over without it as well costs nothing more.
-		harm := pressure.ViolationProbability(s.Headroom-pressed, s.Deviation) - pressure.ViolationProbability(s.Headroom, s.Deviation)
+		// A violation that is expected without best-effort work as well costs nothing.
+		violation := pressure.ViolationProbability(s.Headroom-loss, s.Deviation) - pressure.ViolationProbability(s.Headroom, s.Deviation)
 		if s.SustainedViolation {
-			harm *= mustNot
+			violation *= sustainedFactor
 		}
-		total -= harm
+		total -= violation
 	}
 	return total
 }
 
-// at returns the share of the worker that the image uses at a pace.
-func (f BestEffort) at(pace int) float64 { return f.FullShare * float64(pace) / Full }
+// shareAt returns the share of the worker that the image uses at a pace.
+func (b BestEffort) shareAt(pace int) float64 { return b.FullShare * float64(pace) / Full }
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -8,41 +8,41 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-func filling(image string, use float64) BestEffort { return BestEffort{Image: image, FullShare: use} }
+func load(image string, use float64) BestEffort { return BestEffort{Image: image, FullShare: use} }
 
-// pressedBy returns a task that serves and that an image slows by a weight.
-func pressedBy(image string, weight float64) ServingTask {
+// slowedBy returns a serving task that an image slows with a weight.
+func slowedBy(image string, weight float64) ServingTask {
 	return ServingTask{Headroom: 1.5, Deviation: 0.2, Weights: map[string]float64{image: weight}}
 }
 
-func TestHarmlessRunsFullAndHarmfulGivesWay(t *testing.T) {
-	served := []ServingTask{pressedBy("mail", 6), pressedBy("mail", 6)}
-	paces := Choose(served, []BestEffort{filling("mail", 0.2), filling("scan", 0.2)}, 0)
+func TestOnlyInterferingImageIsThrottled(t *testing.T) {
+	serving := []ServingTask{slowedBy("mail", 6), slowedBy("mail", 6)}
+	paces := Choose(serving, []BestEffort{load("mail", 0.2), load("scan", 0.2)}, 0)
 	assert.Equal(t, paces["scan"], Full)
 	assert.Assert(t, paces["mail"] < Full)
 }
 
-// TestWorkIsWeighedAgainstOneTaskOverItsTarget plays a neighbor that surely puts a task over its target at any pace that is of use:
-// it gives way unless more than pressure.WorthOfOver of the worker is done by it.
-func TestWorkIsWeighedAgainstOneTaskOverItsTarget(t *testing.T) {
-	served := []ServingTask{pressedBy("mail", 90)}
+// TestWorkIsWeighedAgainstOneViolation has a neighbor that makes a task violate its target at any useful pace: it is
+// throttled unless it does more than pressure.ViolationCost of the worker's work.
+func TestWorkIsWeighedAgainstOneViolation(t *testing.T) {
+	serving := []ServingTask{slowedBy("mail", 90)}
 	less, more := 0.8*pressure.ViolationCost, 1.2*pressure.ViolationCost
-	assert.Equal(t, Choose(served, []BestEffort{filling("mail", less)}, 0)["mail"], Min)
-	assert.Equal(t, Choose(served, []BestEffort{filling("mail", more)}, 0)["mail"], Full)
+	assert.Equal(t, Choose(serving, []BestEffort{load("mail", less)}, 0)["mail"], Min)
+	assert.Equal(t, Choose(serving, []BestEffort{load("mail", more)}, 0)["mail"], Full)
 }
 
-func TestNothingToServeRunsFull(t *testing.T) {
-	assert.Equal(t, Choose(nil, []BestEffort{filling("mail", 0.9)}, 0)["mail"], Full)
+func TestFullPaceWithoutServingTasks(t *testing.T) {
+	assert.Equal(t, Choose(nil, []BestEffort{load("mail", 0.9)}, 0)["mail"], Full)
 }
 
-func TestWhatIsOverForLongMakesItsNeighborsStop(t *testing.T) {
-	fills := []BestEffort{filling("mail", 0.5), filling("scan", 0.1)}
-	long := ServingTask{Headroom: 1.5, Deviation: 0.2, Weights: map[string]float64{"mail": 2}, SustainedViolation: true}
-	paces := Choose([]ServingTask{long}, fills, 0)
+func TestLongViolationStopsNeighbors(t *testing.T) {
+	neighbors := []BestEffort{load("mail", 0.5), load("scan", 0.1)}
+	violating := ServingTask{Headroom: 1.5, Deviation: 0.2, Weights: map[string]float64{"mail": 2}, SustainedViolation: true}
+	paces := Choose([]ServingTask{violating}, neighbors, 0)
 	assert.Assert(t, paces["mail"] <= 15)
 	assert.Equal(t, paces["scan"], Full)
-	long.ProlongedViolation = true
-	paces = Choose([]ServingTask{long}, fills, 0)
+	violating.ProlongedViolation = true
+	paces = Choose([]ServingTask{violating}, neighbors, 0)
 	assert.Equal(t, paces["mail"], Min)
 	assert.Equal(t, paces["scan"], Min)
 }
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,2 +1,2 @@
-// Package policy holds the operators' configuration as the platform keeps it: queues, services and limits.
+// Package policy holds the operators' configuration of the platform: queues, services and limits.
 package policy
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -7,15 +7,15 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// Version numbers the configurations; it rises in uneven steps.
+// Version is the number of a configuration; it rises in uneven steps.
 type Version uint64
 
-// Route is a queue and how callers name it.
+// Route is a queue with the host and path prefix of its calls.
 type Route struct {
 	Host   string
 	Prefix string
 	Queue  job.Queue
-	// Timeout is how long the answer to a call may take.
+	// Timeout is the time limit for answering a call.
 	Timeout time.Duration
 }
 
@@ -23,12 +23,13 @@
 type Policy struct {
 	version Version
 	routes  []Route
-	// connections is how many connections a worker takes at once, by its service.
+	// connections is the number of concurrent connections that a worker accepts, by its service.
 	connections map[string]int
 	maxBody     int
 }
 
-// New returns a version of the configuration; connections tells how many a worker takes at once, by its service.
+// New returns a version of the configuration; connections is the number of concurrent connections that a worker
+// accepts, by its service.
 func New(version Version, routes []Route, connections map[string]int, maxBody int) *Policy {
 	return &Policy{version: version, routes: routes, connections: connections, maxBody: maxBody}
 }
@@ -36,22 +37,22 @@
 // Version returns the number of the configuration.
 func (p *Policy) Version() Version { return p.version }
 
-// Connections returns how many connections a worker of a service takes at once, 0 where that is not told.
+// Connections returns the number of concurrent connections that a worker of a service accepts, 0 if unknown.
 func (p *Policy) Connections(service string) int { return p.connections[service] }
 
-// HasService reports whether the configuration names a service.
+// HasService reports whether the configuration contains a service.
 func (p *Policy) HasService(service string) bool {
-	_, named := p.connections[service]
-	return named
+	_, known := p.connections[service]
+	return known
 }
 
-// MaxBody returns the largest body of a call in bytes.
+// MaxBody returns the maximum size of a call's body in bytes.
 func (p *Policy) MaxBody() int { return p.maxBody }
 
-// Routes returns all routes, which are not to be changed.
+// Routes returns all routes, which must not be changed.
 func (p *Policy) Routes() []Route { return p.routes }
 
-// Route returns the route of a host with the longest prefix of the path, nil where none fits.
+// Route returns the route of a host with the longest prefix of the path, or nil.
 func (p *Policy) Route(host, path string) *Route {
 	host, _, _ = strings.Cut(host, ":")
 	var best *Route
@@ -65,7 +66,7 @@
 	return best
 }
 
-// Queue returns the queue of a name, false where there is none.
+// Queue returns the queue with a name, or false.
 func (p *Policy) Queue(name string) (job.Queue, bool) {
 	for i := range p.routes {
 		if p.routes[i].Queue.Name == name {
--- a/internal/queueing/queueing.go
+++ b/internal/queueing/queueing.go
@@ -7,82 +7,82 @@
 	"github.com/saffronpulley/saffronpulley/internal/resource"
 )
 
-// StarveAfter is how long a task that fits nowhere waits before room is kept free for it.
+// StarveAfter is how long an unplaceable task waits before a worker is reserved for it.
 const StarveAfter = 2 * time.Minute
 
-// Team is what a team runs and may run in the cell.
+// Team is the usage, quota and weight of a team in the cell.
 type Team struct {
 	used   resource.Vector
 	quota  resource.Vector
 	weight int
 }
 
-// NewTeam returns a team with what it uses, its quota, in which 0 is no limit, and its weight.
+// NewTeam returns a team with its usage, its quota, in which 0 is unlimited, and its weight.
 func NewTeam(used, quota resource.Vector, weight int) *Team {
 	return &Team{used: used, quota: quota, weight: max(weight, 1)}
 }
 
-// Allocate adds to what the team uses.
+// Allocate adds size to the usage of the team.
 func (t *Team) Allocate(size resource.Vector) { t.used = t.used.Add(size) }
 
-// Allows reports whether the team may take size within its quota.
+// Allows reports whether size fits within the team's quota.
 func (t *Team) Allows(size resource.Vector) bool {
 	wanted := t.used.Add(size)
-	return within(wanted.Processors(), t.quota.Processors()) &&
-		within(wanted.Memory(), t.quota.Memory()) &&
-		within(wanted.Accelerators(), t.quota.Accelerators())
+	return fitsQuota(wanted.Processors(), t.quota.Processors()) &&
+		fitsQuota(wanted.Memory(), t.quota.Memory()) &&
+		fitsQuota(wanted.Accelerators(), t.quota.Accelerators())
 }
 
-func within(wanted, quota int64) bool { return quota == 0 || wanted <= quota }
+func fitsQuota(wanted, quota int64) bool { return quota == 0 || wanted <= quota }
 
-// share is the weighted dominant share of the team.
+// share returns the weighted dominant share of the team.
 func (t *Team) share(capacity resource.Vector) float64 {
 	return t.used.DominantShare(capacity) / float64(t.weight)
 }
 
-// Entry is one kind of waiting work: the tasks of one job.
+// Entry is the waiting tasks of one job.
 type Entry struct {
 	team      *Team
 	urgent    bool
 	weight    int
 	submitted time.Time
-	due       time.Time
+	deadline  time.Time
 	work      time.Duration
 }
 
-// NewEntry returns waiting work of a team; work is how long its tasks are still expected to take one after the other.
-func NewEntry(team *Team, urgent bool, weight int, submitted, due time.Time, work time.Duration) Entry {
-	return Entry{team, urgent, max(weight, 1), submitted, due, work}
+// NewEntry returns waiting work of a team; work is the expected time of its tasks if run one after the other.
+func NewEntry(team *Team, urgent bool, weight int, submitted, deadline time.Time, work time.Duration) Entry {
+	return Entry{team, urgent, max(weight, 1), submitted, deadline, work}
 }
 
 // Team returns the team of the work.
 func (e *Entry) Team() *Team { return e.team }
 
-// Starved reports whether the work has waited so long that room is kept free for it.
+// Starved reports whether the work has waited so long that a worker is reserved for it.
 func (e *Entry) Starved(now time.Time) bool {
 	return e.urgent || now.Sub(e.submitted) > StarveAfter
 }
 
-// late reports whether the work misses its deadline unless it starts about now.
-func (e *Entry) late(now time.Time) bool {
-	return !e.due.IsZero() && now.Add(e.work+e.work/2).After(e.due)
+// isLate reports whether the work misses its deadline unless it starts about now.
+func (e *Entry) isLate(now time.Time) bool {
+	return !e.deadline.IsZero() && now.Add(e.work+e.work/2).After(e.deadline)
 }
 
-// Less reports whether a goes before b: urgent work, then work about to be late, then the team with the least
+// Less reports whether a goes before b: urgent work, then work that is about to be late, then the team with the lowest
 // weighted dominant share, then the larger weight, then the older.
 func Less(a, b *Entry, now time.Time, capacity resource.Vector) bool {
 	return compare(a, b, now, capacity) < 0
 }
 
 func compare(a, b *Entry, now time.Time, capacity resource.Vector) int {
-	if order := first(a.urgent, b.urgent); order != 0 {
+	if order := trueFirst(a.urgent, b.urgent); order != 0 {
 		return order
 	}
-	if order := first(a.late(now), b.late(now)); order != 0 {
+	if order := trueFirst(a.isLate(now), b.isLate(now)); order != 0 {
 		return order
 	}
-	if a.late(now) {
-		if order := a.due.Compare(b.due); order != 0 {
+	if a.isLate(now) {
+		if order := a.deadline.Compare(b.deadline); order != 0 {
 			return order
 		}
 	}
@@ -95,7 +95,7 @@
 	return a.submitted.Compare(b.submitted)
 }
 
-func first(a, b bool) int {
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -106,11 +106,11 @@
 	}
 }
 
-// Next returns the place of the work that goes first among those not yet passed over, or -1.
-func Next[T any](items []T, entry func(*T) *Entry, passed func(*T) bool, now time.Time, capacity resource.Vector) int {
+// Next returns the index of the first entry in this order that is not skipped, or -1.
+func Next[T any](items []T, entry func(*T) *Entry, skipped func(*T) bool, now time.Time, capacity resource.Vector) int {
 	best := -1
 	for i := range items {
-		if passed(&items[i]) {
+		if skipped(&items[i]) {
 			continue
 		}
 		if best < 0 || Less(entry(&items[i]), entry(&items[best]), now, capacity) {
--- a/internal/resource/doc.go
+++ b/internal/resource/doc.go
@@ -1,2 +1,2 @@
-// Package resource holds the vector of what a VM has and a task takes.
+// Package resource defines the vector of the capacity of a VM and the size of a task.
 package resource
--- a/internal/resource/vector.go
+++ b/internal/resource/vector.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// MillisPerProcessor is how many units of Vector.Processors make one processor.
+// MillisPerProcessor is the number of units of Vector.Processors in one processor.
 const MillisPerProcessor = 1000
 
 // Vector is an amount of each resource of a VM.
@@ -23,7 +23,7 @@
 // Memory returns the mebibytes of memory.
 func (v Vector) Memory() int64 { return v.memory }
 
-// Accelerators returns the whole accelerators.
+// Accelerators returns the number of accelerators.
 func (v Vector) Accelerators() int64 { return v.accelerators }
 
 // Add returns the sum of both vectors.
@@ -31,7 +31,7 @@
 	return Vector{v.processors + o.processors, v.memory + o.memory, v.accelerators + o.accelerators}
 }
 
-// Sub returns what is left of v without o, which may be below zero.
+// Sub returns v minus o, which may be negative.
 func (v Vector) Sub(o Vector) Vector {
 	return Vector{v.processors - o.processors, v.memory - o.memory, v.accelerators - o.accelerators}
 }
@@ -41,12 +41,12 @@
 	return Vector{max(v.processors, o.processors), max(v.memory, o.memory), max(v.accelerators, o.accelerators)}
 }
 
-// Fits reports whether v is no larger than room in each resource.
-func (v Vector) Fits(room Vector) bool {
-	return v.processors <= room.processors && v.memory <= room.memory && v.accelerators <= room.accelerators
+// Fits reports whether v is no larger than capacity in each resource.
+func (v Vector) Fits(capacity Vector) bool {
+	return v.processors <= capacity.processors && v.memory <= capacity.memory && v.accelerators <= capacity.accelerators
 }
 
-// DominantShare returns the largest share, 0 to 1 and above, that v takes of total in one resource.
+// DominantShare returns the largest share of total that v takes in one resource; it may exceed 1.
 func (v Vector) DominantShare(total Vector) float64 {
 	share := ratio(v.processors, total.processors)
 	share = max(share, ratio(v.memory, total.memory))
@@ -60,7 +60,7 @@
 	return float64(part) / float64(total)
 }
 
-// String returns the vector for people, with its units.
+// String returns the vector in readable form, with its units.
 func (v Vector) String() string {
 	return fmt.Sprintf("%.3g processors, %d MiB, %d accelerators",
 		float64(v.processors)/MillisPerProcessor, v.memory, v.accelerators)
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -1,19 +1,19 @@
 package routing
 
-// budgetBurst is how many retries may be sent at once after a quiet time.
+// budgetBurst is how many retries may be sent at once after a period without retries.
 const budgetBurst = 10
 
-// RetryBudget bounds the retries to a share of the requests; the zero value has its first burst to spend.
+// RetryBudget limits retries to a share of the requests; the zero value allows a full burst.
 type RetryBudget struct {
 	spent float64
 }
 
-// AddRequest takes note of a first try; percent of it may be spent on retries.
+// AddRequest records a first attempt; percent of it is added to the budget.
 func (b *RetryBudget) AddRequest(percent int) {
 	b.spent = max(b.spent-float64(percent)/100, 0)
 }
 
-// Spend takes one retry from the budget, or reports that there is none.
+// Spend takes one retry from the budget, and reports whether one was left.
 func (b *RetryBudget) Spend() bool {
 	if b.spent+1 > budgetBurst {
 		return false
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,2 +1,2 @@
-// Package routing chooses the endpoint of a request and bounds retries.
+// Package routing chooses the endpoint of a request and limits retries.
 package routing
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,35 +1,36 @@
 package routing
 
-// Candidate is what is known of one endpoint when a request is routed.
+// Candidate is the state of one endpoint when a request is routed.
 type Candidate struct {
-	load   int
-	slots  int
-	far    bool
-	closed bool
+	load      int
+	slots     int
+	otherHall bool
+	closed    bool
 }
 
-// NewCandidate returns an endpoint with its requests in flight and the slots that run them; far is another hall.
-func NewCandidate(load, slots int, far, closed bool) Candidate {
-	return Candidate{load: load, slots: max(slots, 1), far: far, closed: closed}
+// NewCandidate returns an endpoint with its requests in flight and its slots; otherHall is set if it is in another
+// hall.
+func NewCandidate(load, slots int, otherHall, closed bool) Candidate {
+	return Candidate{load: load, slots: max(slots, 1), otherHall: otherHall, closed: closed}
 }
 
-// Closed returns an endpoint that takes no request.
+// Closed returns an endpoint that accepts no requests.
 func Closed() Candidate { return Candidate{slots: 1, closed: true} }
 
-// farPenalty is how many requests in flight for each slot another hall is worth.
-const farPenalty = 0.25
+// otherHallPenalty is the cost of another hall, in requests in flight for each slot.
+const otherHallPenalty = 0.25
 
 func (c Candidate) cost() float64 {
 	cost := float64(c.load+1) / float64(c.slots)
-	if c.far {
-		cost += farPenalty
+	if c.otherHall {
+		cost += otherHallPenalty
 	}
 	return cost
 }
 
-// Choose returns the place of the better of two candidates picked by a random number, or -1 if all are closed.
+// Choose returns the index of the better of two randomly picked candidates, or -1 if all are closed.
 //
-// The number is any 64 random bits. When both are closed the rest are walked in a ring. It allocates nothing.
+// random is any 64 random bits. If both are closed, the others are tried in ring order. Choose does not allocate.
 func Choose[T any](items []T, view func(*T) Candidate, random uint64) int {
 	n := uint64(len(items))
 	if n == 0 {
@@ -43,7 +44,7 @@
 	a, b := view(&items[first]), view(&items[second])
 	switch {
 	case a.closed && b.closed:
-		return walk(items, view, second)
+		return nextOpen(items, view, second)
 	case a.closed:
 		return second
 	case b.closed || a.cost() <= b.cost():
@@ -53,9 +54,9 @@
 	}
 }
 
-func walk[T any](items []T, view func(*T) Candidate, from int) int {
+func nextOpen[T any](items []T, view func(*T) Candidate, start int) int {
 	for step := 1; step < len(items); step++ {
-		i := (from + step) % len(items)
+		i := (start + step) % len(items)
 		if !view(&items[i]).closed {
 			return i
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -10,8 +10,8 @@
 func view(c *Candidate) Candidate { return *c }
 
 func TestChoose(t *testing.T) {
-	open, busy, shut := NewCandidate(0, 8, false, false), NewCandidate(20, 8, false, false), NewCandidate(0, 8, false, true)
-	far := NewCandidate(0, 8, true, false)
+	open, busy, closed := NewCandidate(0, 8, false, false), NewCandidate(20, 8, false, false), NewCandidate(0, 8, false, true)
+	otherHall := NewCandidate(0, 8, true, false)
 	cases := []struct {
 		name string
 		list []Candidate
@@ -19,11 +19,11 @@
 	}{
 		{"none", nil, -1},
 		{"the only one", []Candidate{busy}, 0},
-		{"all shut", []Candidate{shut, shut, shut}, -1},
-		{"the one that is open", []Candidate{shut, shut, shut, open, shut}, 3},
+		{"all closed", []Candidate{closed, closed, closed}, -1},
+		{"the only open one", []Candidate{closed, closed, closed, open, closed}, 3},
 		{"the less busy", []Candidate{busy, open}, 1},
-		{"the nearer", []Candidate{far, open}, 1},
-		{"the far one rather than a queue", []Candidate{busy, far}, 1},
+		{"the same hall", []Candidate{otherHall, open}, 1},
+		{"another hall rather than a queue", []Candidate{busy, otherHall}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 		spent++
 	}
 	assert.Equal(t, spent, budgetBurst)
-	// Ten requests make one retry; the eleventh makes up for what a tenth is in binary.
+	// Ten requests add one retry; the eleventh compensates for the rounding of a tenth in binary.
 	for range 11 {
 		b.AddRequest(10)
 	}
--- a/internal/scheduling/services.go
+++ b/internal/scheduling/services.go
@@ -32,7 +32,7 @@
 		return
 	}
 	p.plan.waiting[r.Workload()] = Waiting{reason: result.MainReason(), tooLarge: !FitsEmptyWorker(r.Size(), p.workers)}
-	p.makeRoom(r.Size())
+	p.requestEvictions(r.Size())
 }
 
 // setReplicas sets on each candidate how many replicas of the service run on the worker and in its rack.
@@ -52,8 +52,8 @@
 	}
 }
 
-// makeRoom requests evictions on the worker where the fewest of them free enough capacity for size.
-func (p *planner) makeRoom(size resource.Vector) {
+// requestEvictions requests evictions on the worker where the fewest of them free enough capacity for size.
+func (p *planner) requestEvictions(size resource.Vector) {
 	var best []task.Run
 	for i, w := range p.workers {
 		if w.closed != placement.Chosen || p.candidates[i].HasReplica() || !size.Fits(w.capacity) {
--- a/internal/sizing/doc.go
+++ b/internal/sizing/doc.go
@@ -1,2 +1,2 @@
-// Package sizing corrects declared sizes and run times by what was measured.
+// Package sizing corrects declared sizes and run times by measurements.
 package sizing
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -12,28 +12,28 @@
 	smoothing    = 0.1
 	deviations   = 2
 	memoryMargin = 1.15
-	lowest       = 0.25
-	highest      = 8
+	minFactor    = 0.25
+	maxFactor    = 8
 	peakDecay    = 0.999
 )
 
-// Estimate learns the size of the tasks of one workload from late usage reports.
+// Estimate learns the size of the tasks of one workload from delayed usage reports.
 type Estimate struct {
 	samples   int
-	processor moving
+	processor movingStats
 	memory    float64
-	runtime   moving
+	runtime   movingStats
 	runs      int
 }
 
-// moving is a moving mean, a moving mean deviation and a peak that fades.
-type moving struct {
+// movingStats is a moving mean, a moving mean deviation and a decaying peak.
+type movingStats struct {
 	mean      float64
 	deviation float64
 	peak      float64
 }
 
-func (m *moving) add(value float64, first bool) {
+func (m *movingStats) add(value float64, first bool) {
 	if first {
 		m.mean, m.peak = value, value
 		return
@@ -44,30 +44,30 @@
 	m.deviation += smoothing * (math.Abs(difference) - m.deviation)
 }
 
-func (m *moving) upper() float64 { return max(m.mean+deviations*m.deviation, m.peak) }
+func (m *movingStats) upper() float64 { return max(m.mean+deviations*m.deviation, m.peak) }
 
-// Observe takes note of a measured use.
+// Observe records a measured use.
 func (e *Estimate) Observe(used resource.Vector) {
 	e.processor.add(float64(used.Processors()), e.samples == 0)
 	e.memory = max(e.memory*peakDecay, float64(used.Memory()))
 	e.samples++
 }
 
-// ObserveRuntime takes note of how long a task ran from start to end.
+// ObserveRuntime records the run time of a task that has ended.
 func (e *Estimate) ObserveRuntime(d time.Duration) {
 	e.runtime.add(d.Seconds(), e.runs == 0)
 	e.runs++
 }
 
-// Size returns the declared size corrected by an upper bound of what was measured.
+// Size returns the declared size corrected by an upper bound of the measured use.
 //
-// Accelerators are never corrected, and few samples leave the declared size but raise it to what was seen.
+// Accelerators are never corrected, and with few samples the declared size is only raised.
 func (e *Estimate) Size(declared resource.Vector) resource.Vector {
 	if e.samples == 0 {
 		return declared
 	}
-	processors := bounded(e.processor.upper(), declared.Processors())
-	memory := bounded(e.memory*memoryMargin, declared.Memory())
+	processors := clamp(e.processor.upper(), declared.Processors())
+	memory := clamp(e.memory*memoryMargin, declared.Memory())
 	corrected := resource.New(processors, memory, declared.Accelerators())
 	if e.samples < minSamples {
 		return corrected.Max(declared)
@@ -75,12 +75,12 @@
 	return corrected
 }
 
-func bounded(value float64, declared int64) int64 {
-	low, high := lowest*float64(declared), highest*float64(declared)
+func clamp(value float64, declared int64) int64 {
+	low, high := minFactor*float64(declared), maxFactor*float64(declared)
 	return int64(math.Ceil(min(max(value, low), high)))
 }
 
-// Runtime returns the declared run time, corrected once a task has ended.
+// Runtime returns the declared run time, or the mean measured one if a task has ended.
 func (e *Estimate) Runtime(declared time.Duration) time.Duration {
 	if e.runs == 0 {
 		return declared
