--- a/internal/crash/attribution.go
+++ b/internal/crash/attribution.go
@@ -32,7 +32,7 @@
 
 // Run is a run that an incarnation of a worker had, or may have had, when it crashed.
 type Run struct {
-	// acknowledged is set if the worker reported the run; age is the age that it last reported.
+	// acknowledged is set if the worker reported the run; age is how long the run is known to have lasted.
 	acknowledged bool
 	age          time.Duration
 	history      History
@@ -50,7 +50,7 @@
 //
 // Work that crashes its worker does so on startup, so the starting runs with the highest score are the likely causes,
 // and runs beside them that have survived startup are not a cause. Other starting runs, and unacknowledged starts, are
-// possible causes: if they were not, a task that always starts beside ones with a higher score could be restarted
+// possible causes: if they were not, a task that always starts beside ones with a higher score would be restarted
 // without bound. Without any starting run, each run is a possible cause.
 //
 // Workers that crash simultaneously have a common cause, which is probably none of the runs: then starting runs are at
--- a/internal/crash/losses.go
+++ b/internal/crash/losses.go
@@ -6,8 +6,8 @@
 	// maxSimilar bounds the consecutive losses of a task with similar lifetimes: the platform allows five starts of
 	// work that crashes its workers.
 	maxSimilar = 5
-	// minCrashed is the number of confirmed worker crashes among them: the platform allows no task to be given up for
-	// fewer.
+	// minCrashed is how many of the losses must have a confirmed worker crash: the platform allows no task to be given
+	// up for fewer.
 	minCrashed = 2
 	// maxLosses bounds all consecutive losses, similar or not, with confirmed crashes or not: it bounds a task that
 	// takes the whole VM down permanently, and network partitions do not hit one task that often.
--- a/internal/hall/closures.go
+++ b/internal/hall/closures.go
@@ -16,9 +16,9 @@
 // timingOf lets one watch stop responding and the next one confirm the closures before they count as stale: 0.4 s, 0.8
 // s until the unresponsive one is canceled, and 0.4 s again are below the 2 s that a bound of 5 s allows. Only the
 // leader follows closures, so this costs two and a half reads a second for the whole fleet.
-func timingOf(stale time.Duration) follow.Timing {
+func timingOf(staleAfter time.Duration) follow.Timing {
 	const waits, retries = 5, 20
-	return follow.Timing{Wait: stale / waits, Retry: stale / retries}
+	return follow.Timing{Wait: staleAfter / waits, Retry: staleAfter / retries}
 }
 
 // staleShare is the part of the time in which a closure must be in force after which the closures count as stale. An
@@ -43,24 +43,24 @@
 
 // Closures are the halls that the operators have closed: one key for each under a prefix, with any value.
 type Closures struct {
-	store  kv.Store
-	prefix string
-	stale  time.Duration
-	logger logging.Logger
-	clock  boottime.Clock
-
-	mu       sync.Mutex
-	since    map[string]time.Time
-	revision kv.Revision
-	// confirmed is the start of the last read that confirmed the closures; its age includes time in which the VM is
+	store      kv.Store
+	prefix     string
+	staleAfter time.Duration
+	logger     logging.Logger
+	clock      boottime.Clock
+
+	mu          sync.Mutex
+	closedSince map[string]time.Time
+	revision    kv.Revision
+	// confirmedAt is the start of the last read that confirmed the closures; its age includes time in which the VM is
 	// suspended.
-	confirmed boottime.Instant
+	confirmedAt boottime.Instant
 }
 
 // New returns the closures under a prefix, not loaded yet; within is the time in which a closure must be in force.
 func New(store kv.Store, prefix string, within time.Duration, clock boottime.Clock, logger logging.Logger) *Closures {
 	return &Closures{
-		store: store, prefix: prefix, stale: StaleAfter(within), clock: clock, logger: logger, since: make(map[string]time.Time),
+		store: store, prefix: prefix, staleAfter: StaleAfter(within), clock: clock, logger: logger, closedSince: make(map[string]time.Time),
 	}
 }
 
@@ -85,14 +85,14 @@
 		}
 		return nil
 	}
-	return follow.NewPrefix(c.store, c.prefix, timingOf(c.stale), handle, c.logger).Timed(c.clock)
+	return follow.NewPrefix(c.store, c.prefix, timingOf(c.staleAfter), handle, c.logger).Timed(c.clock)
 }
 
 // Status returns whether a hall is closed.
 func (c *Closures) Status(hall string) Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, closed := c.since[hall]
+	_, closed := c.closedSince[hall]
 	return Status{Closed: closed, Revision: c.revision}
 }
 
@@ -100,14 +100,14 @@
 func (c *Closures) Closed() map[string]time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.since)
+	return maps.Clone(c.closedSince)
 }
 
 // Stale reports whether the closures were confirmed so long ago that another hall may have been closed.
 func (c *Closures) Stale() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.clock.Now().Sub(c.confirmed) > c.stale
+	return c.clock.Now().Sub(c.confirmedAt) > c.staleAfter
 }
 
 // apply applies a change and reports whether it closed or opened a hall.
@@ -119,8 +119,8 @@
 		return false
 	}
 	c.revision = change.At
-	if change.Began.After(c.confirmed) {
-		c.confirmed = change.Began
+	if change.Began.After(c.confirmedAt) {
+		c.confirmedAt = change.Began
 	}
 	present := make(map[string]bool, len(change.Events))
 	changed := false
@@ -132,7 +132,7 @@
 		present[hall] = true
 		changed = c.set(hall, !e.Gone()) || changed
 	}
-	for hall := range c.since {
+	for hall := range c.closedSince {
 		if change.Whole && !present[hall] {
 			changed = c.set(hall, false) || changed
 		}
@@ -142,16 +142,16 @@
 
 // set records whether a hall is closed and reports whether that has changed.
 func (c *Closures) set(hall string, closed bool) bool {
-	since, known := c.since[hall]
+	since, known := c.closedSince[hall]
 	switch {
 	case closed == known:
 		return false
 	case closed:
 		c.logger.Info("hall closed by the operators; hall=%s", hall)
-		c.since[hall] = time.Now()
+		c.closedSince[hall] = time.Now()
 	default:
 		c.logger.Info("hall opened again; hall=%s closed_ms=%d", hall, time.Since(since).Milliseconds())
-		delete(c.since, hall)
+		delete(c.closedSince, hall)
 	}
 	return true
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -44,13 +44,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if run.Incarnation() <= l.lastEnded(run.ID()) {
-		return fault.New(fault.Stale, "run %d of task %s has ended here", run.Incarnation(), run.ID())
+		return fault.New(fault.Stale, "run %d of task %s has already ended on this VM", run.Incarnation(), run.ID())
 	}
 	if current, ok := l.runs[run.ID()]; ok {
 		return checkCurrent(run, current)
 	}
 	if total := l.used.Add(size); !total.Fits(l.capacity) {
-		return fault.New(fault.DoesNotFit, "task %s takes %s, and %s is free", run.ID(), size, l.capacity.Sub(l.used))
+		return fault.New(fault.DoesNotFit, "task %s requests %s, but only %s is free", run.ID(), size, l.capacity.Sub(l.used))
 	}
 	l.runs[run.ID()] = allocation{incarnation: run.Incarnation(), size: size}
 	l.used = l.used.Add(size)
@@ -62,9 +62,9 @@
 	case current.incarnation == run.Incarnation():
 		return nil
 	case current.incarnation > run.Incarnation():
-		return fault.New(fault.Stale, "task %s runs as %d, later than %d", run.ID(), current.incarnation, run.Incarnation())
+		return fault.New(fault.Stale, "task %s runs as incarnation %d, later than %d", run.ID(), current.incarnation, run.Incarnation())
 	default:
-		return fault.New(fault.DoesNotFit, "task %s still runs as %d", run.ID(), current.incarnation)
+		return fault.New(fault.DoesNotFit, "task %s still runs as incarnation %d", run.ID(), current.incarnation)
 	}
 }
 
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,3 +1,3 @@
 // Package placement chooses the worker of a task from a snapshot of the workers of a cell, and reports the reason. It
-// has no side effects.
+// performs no I/O and reads no clock.
 package placement
--- a/internal/plan/cost.go
+++ b/internal/plan/cost.go
@@ -23,9 +23,9 @@
 }
 
 // Weights of a placement's cost, in shares of a worker's processors. Avoided workers come last, remote data costs more
-// than any load difference, and the net value of a best-effort task comes before either. Serving tasks of one image
-// suffer from the same neighbors, so they are packed onto the same workers: then best-effort tasks slow few of them
-// and still find workers where they slow none.
+// than any difference in load, and the net value of a best-effort task outweighs both. Serving tasks of one image are
+// slowed by the same neighbors, so they are packed onto the same workers: then best-effort tasks slow few of them and
+// still find workers where they slow none.
 const (
 	avoidedWorkerCost = 10.0
 	remoteDataCost    = 2.0
@@ -37,7 +37,7 @@
 	bestEffortWeight = 0.25
 )
 
-// costOf returns the cost of a task of the group on the worker, and whether the task could make progress there.
+// costOf returns the cost of a task of the group on the worker, and false if the worker is unsuitable.
 func (p *Planner) costOf(w *Worker, g *Group) (float64, bool) {
 	if w.Capacity.CPU == 0 {
 		return 0, false
--- a/internal/plan/gang.go
+++ b/internal/plan/gang.go
@@ -11,8 +11,8 @@
 	if len(g.Indexes) < g.Step.Count {
 		return nil
 	}
-	for _, candidates := range racks(p.workers, g.Step) {
-		if placed := p.placeGangOn(candidates, g); placed != nil {
+	for _, workers := range racks(p.workers, g.Step) {
+		if placed := p.placeGangOn(workers, g); placed != nil {
 			return placed
 		}
 	}
@@ -27,8 +27,8 @@
 	for _, i := range g.Indexes {
 		w := candidates.best()
 		if w == nil {
-			for _, t := range used {
-				p.undo(t, g)
+			for _, worker := range used {
+				p.undo(worker, g)
 			}
 			return nil
 		}
@@ -39,7 +39,7 @@
 	return placed
 }
 
-// racks returns the sets of workers to try for a gang: each rack by itself if the step needs a single rack, then all
+// racks returns the sets of workers to try for a gang: each rack by itself if the step prefers a single rack, then all
 // workers.
 func racks(workers []*Worker, step *job.Step) [][]*Worker {
 	var sets [][]*Worker
--- a/internal/plan/worker.go
+++ b/internal/plan/worker.go
@@ -145,8 +145,8 @@
 		if weight*share < minLoss && deviation*share < minLoss {
 			continue
 		}
-		added := deviation * share
-		total += max(s.violationProbabilityWith(weight*share, added*added)-s.violationProbability(), 0)
+		lossDeviation := deviation * share
+		total += max(s.violationProbabilityWith(weight*share, lossDeviation*lossDeviation)-s.violationProbability(), 0)
 	}
 	return total
 }
--- a/internal/pressure/filter.go
+++ b/internal/pressure/filter.go
@@ -36,21 +36,21 @@
 	return n
 }
 
-// removeSlots removes consecutive slots.
-func (f *filter) removeSlots(from, slots int) {
-	f.mean = slices.Delete(f.mean, from, from+slots)
-	f.variance = slices.Delete(f.variance, from, from+slots)
+// removeSlots removes count consecutive slots.
+func (f *filter) removeSlots(from, count int) {
+	f.mean = slices.Delete(f.mean, from, from+count)
+	f.variance = slices.Delete(f.variance, from, from+count)
 	for i := range f.variance {
-		f.variance[i] = slices.Delete(f.variance[i], from, from+slots)
+		f.variance[i] = slices.Delete(f.variance[i], from, from+count)
 	}
 	for column, slot := range f.weights {
 		if slot > from {
-			f.weights[column] = slot - slots
+			f.weights[column] = slot - count
 		}
 	}
 	for _, l := range f.loads {
 		if l.slot > from {
-			l.slot -= slots
+			l.slot -= count
 		}
 	}
 }
--- a/internal/scheduling/batch.go
+++ b/internal/scheduling/batch.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// setInterference sets on each candidate the slowdown of its most affected service, with an upper bound for the task's
-// part.
+// setInterference sets on each candidate the slowdown of its most affected service relative to the tolerance, with an
+// upper bound for the part of the task.
 func (p *planner) setInterference(r table.Row, size resource.Vector) {
 	for i, w := range p.workers {
 		slowdown := 0.0
--- a/internal/scheduling/plan.go
+++ b/internal/scheduling/plan.go
@@ -8,7 +8,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// MaxAssignments bounds the tasks that one plan places, so that a commit stays small.
+// MaxAssignments bounds the tasks that one plan places, so that an update of the document stays small.
 const MaxAssignments = 256
 
 // Plan is the result of planning: the changes to the document, and the reasons why other tasks wait.
--- a/internal/scheduling/plan_test.go
+++ b/internal/scheduling/plan_test.go
@@ -52,7 +52,7 @@
 		{"replicas on different racks", nil, workers(4, resource.New(8000, 9000, 0)), map[string]int{"lookups": 2}, nil},
 		{"a second replica finds no worker", nil, workers(1, resource.New(8000, 9000, 0)), map[string]int{"lookups": 1},
 			map[string]string{"lookups": "a replica of the service runs there"}},
-		{"batch fills what services leave", map[string]int{"mailing": 9}, workers(2, resource.New(8000, 9000, 0)), map[string]int{"mailing": 4},
+		{"batch uses the capacity that services leave", map[string]int{"mailing": 9}, workers(2, resource.New(8000, 9000, 0)), map[string]int{"mailing": 4},
 			map[string]string{"job-mailing": "not enough free processors"}},
 		{"urgent work goes first", map[string]int{"mailing": 9, "rush": 1}, workers(2, resource.New(8000, 9000, 0)),
 			map[string]int{"rush": 1, "mailing": 3}, nil},
--- a/internal/scheduling/services.go
+++ b/internal/scheduling/services.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// requestEvictions requests evictions on the worker where the fewest of them free enough capacity for size.
+// requestEvictions requests evictions that free enough capacity for size, on the worker that needs the fewest.
 func (p *planner) requestEvictions(size resource.Vector) {
 	var best []task.Run
 	for i, w := range p.workers {
