--- a/internal/pressure/model_test.go
+++ b/internal/pressure/model_test.go
@@ -23,21 +23,21 @@
 const targetMillis = 18
 
 // headroom returns the headroom without neighbors.
-func (d *simulatedTask) headroom() float64 {
-	at := float64(d.now.UnixMilli()) / 1000
-	return 2.6 + 0.9*math.Sin(2*math.Pi*(at/d.period+d.phase))
+func (s *simulatedTask) headroom() float64 {
+	at := float64(s.now.UnixMilli()) / 1000
+	return 2.6 + 0.9*math.Sin(2*math.Pi*(at/s.period+s.phase))
 }
 
 // measure returns the measured headroom with a loss by neighbors.
-func (d *simulatedTask) measure(loss float64) float64 {
-	tail := math.Round(targetMillis / max(d.headroom()-loss, 0.02))
+func (s *simulatedTask) measure(loss float64) float64 {
+	tail := math.Round(targetMillis / max(s.headroom()-loss, 0.02))
 	return Headroom(tail, targetMillis)
 }
 
-func (d *simulatedTask) observe(m *Model, use map[string]float64, loss float64) {
-	d.now = d.now.Add(500 * time.Millisecond)
-	measured := d.measure(loss)
-	m.Observe(d.now, Sample{Image: "web", Load: d.load, Headrooms: []float64{measured}, TargetMillis: targetMillis}, use)
+func (s *simulatedTask) observe(m *Model, use map[string]float64, loss float64) {
+	s.now = s.now.Add(500 * time.Millisecond)
+	measured := s.measure(loss)
+	m.Observe(s.now, Sample{Image: "web", Load: s.load, Headrooms: []float64{measured}, TargetMillis: targetMillis}, use)
 }
 
 func newSimulatedTask(phase float64) *simulatedTask {
@@ -46,12 +46,12 @@
 
 func TestModelDistinguishesPairs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, d := NewModel(), newSimulatedTask(rapid.Float64Range(0, 1).Draw(t, "phase"))
+		m, s := NewModel(), newSimulatedTask(rapid.Float64Range(0, 1).Draw(t, "phase"))
 		for range 60 {
-			harmful := rapid.Float64Range(0.03, 0.15).Draw(t, "harmful")
-			harmless := rapid.Float64Range(0, 0.3).Draw(t, "harmless")
+			mailShare := rapid.Float64Range(0.03, 0.15).Draw(t, "harmful")
+			scanShare := rapid.Float64Range(0, 0.3).Draw(t, "harmless")
 			for range 4 {
-				d.observe(m, map[string]float64{"mail": harmful, "scan": harmless}, 10*harmful+harmless)
+				s.observe(m, map[string]float64{"mail": mailShare, "scan": scanShare}, 10*mailShare+scanShare)
 			}
 		}
 		mail, _ := m.Weight("web", "mail")
@@ -65,11 +65,11 @@
 // TestSharedLoadDistinguishesPairs checks that tasks of one load on two workers, one of them with a constant neighbor,
 // show the neighbor's weight within seconds. With a single task it cannot be distinguished from a higher load.
 func TestSharedLoadDistinguishesPairs(t *testing.T) {
-	m, d := NewModel(), newSimulatedTask(0)
+	m, s := NewModel(), newSimulatedTask(0)
 	for range 8 {
-		d.observe(m, nil, 0)
-		d.now = d.now.Add(-500 * time.Millisecond)
-		d.observe(m, map[string]float64{"mail": 0.12}, 0.12*8)
+		s.observe(m, nil, 0)
+		s.now = s.now.Add(-500 * time.Millisecond)
+		s.observe(m, map[string]float64{"mail": 0.12}, 0.12*8)
 	}
 	weight, deviation := m.Weight("web", "mail")
 	assert.Assert(t, math.Abs(weight-8) < 2, "%.1f", weight)
@@ -90,21 +90,21 @@
 
 // TestLoadIsPredicted checks that a load is predicted two seconds ahead after two periods.
 func TestLoadIsPredicted(t *testing.T) {
-	m, d := NewModel(), newSimulatedTask(0)
+	m, s := NewModel(), newSimulatedTask(0)
 	for range 40 {
-		d.observe(m, nil, 0)
+		s.observe(m, nil, 0)
 	}
-	at := d.now.Add(2 * time.Second)
-	headroom, deviation := m.Predict("web", d.load, at)
-	load, known := m.Load("web", d.load, d.now)
+	at := s.now.Add(2 * time.Second)
+	headroom, deviation := m.Predict("web", s.load, at)
+	load, known := m.Load("web", s.load, s.now)
 	assert.Assert(t, known)
 	assert.Assert(t, math.Abs(load.Predict(at, m.LoadFrequency())-headroom) < 1e-9)
-	_, known = m.Load("web", "none", d.now)
+	_, known = m.Load("web", "none", s.now)
 	assert.Assert(t, !known)
-	d.now = at
-	assert.Assert(t, math.Abs(headroom-d.headroom()) < 0.4, "predicted %.2f, measured %.2f", headroom, d.headroom())
+	s.now = at
+	assert.Assert(t, math.Abs(headroom-s.headroom()) < 0.4, "predicted %.2f, measured %.2f", headroom, s.headroom())
 	assert.Assert(t, deviation < UnknownDeviation)
-	headroom, deviation = m.Predict("web", d.load, at.Add(time.Minute))
+	headroom, deviation = m.Predict("web", s.load, at.Add(time.Minute))
 	assert.Equal(t, headroom, UnknownHeadroom)
 	assert.Equal(t, deviation, UnknownDeviation)
 }
@@ -123,9 +123,9 @@
 // TestSaturatedTailsKeepWeightBounded guards against weights derived from tail latencies far over the target, which
 // only show that there is no headroom left.
 func TestSaturatedTailsKeepWeightBounded(t *testing.T) {
-	m, d := NewModel(), newSimulatedTask(0)
+	m, s := NewModel(), newSimulatedTask(0)
 	for range 100 {
-		d.observe(m, map[string]float64{"mail": 0.5}, 5)
+		s.observe(m, map[string]float64{"mail": 0.5}, 5)
 	}
 	weight, _ := m.Weight("web", "mail")
 	assert.Assert(t, weight > 3, "%.1f", weight)
@@ -136,10 +136,10 @@
 	for _, period := range []float64{6, 10, 20} {
 		m := NewModel()
 		for task := range 12 {
-			d := newSimulatedTask(float64(task) / 12)
-			d.period = period
+			s := newSimulatedTask(float64(task) / 12)
+			s.period = period
 			for range 60 {
-				d.observe(m, nil, 0)
+				s.observe(m, nil, 0)
 			}
 		}
 		want := 2 * math.Pi / period
@@ -149,19 +149,19 @@
 
 func TestTrackerPredictsHeadroom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newSimulatedTask(rapid.Float64Range(0, 1).Draw(t, "phase"))
+		s := newSimulatedTask(rapid.Float64Range(0, 1).Draw(t, "phase"))
 		var tracker Tracker
-		tracker.SetFrequency(2 * math.Pi / d.period)
+		tracker.SetFrequency(2 * math.Pi / s.period)
 		for range 80 {
-			d.now = d.now.Add(500 * time.Millisecond)
-			measured := d.measure(0)
-			tracker.Observe(d.now, measured, MeasurementVariance(measured, targetMillis))
+			s.now = s.now.Add(500 * time.Millisecond)
+			measured := s.measure(0)
+			tracker.Observe(s.now, measured, MeasurementVariance(measured, targetMillis))
 		}
-		at := d.now.Add(time.Second)
+		at := s.now.Add(time.Second)
 		predicted, deviation := tracker.Predict(at)
-		d.now = at
-		if math.Abs(predicted-d.headroom()) > 0.5 || deviation > UnknownDeviation {
-			t.Fatalf("predicted %.2f with a deviation of %.2f, measured %.2f", predicted, deviation, d.headroom())
+		s.now = at
+		if math.Abs(predicted-s.headroom()) > 0.5 || deviation > UnknownDeviation {
+			t.Fatalf("predicted %.2f with a deviation of %.2f, measured %.2f", predicted, deviation, s.headroom())
 		}
 	})
 }
@@ -201,10 +201,10 @@
 func TestModelIsRestored(t *testing.T) {
 	m := NewModel()
 	for task := range 12 {
-		d := newSimulatedTask(float64(task) / 12)
+		s := newSimulatedTask(float64(task) / 12)
 		for i := range 60 {
 			share := float64(i%5) / 50
-			d.observe(m, map[string]float64{"mail": share}, 8*share)
+			s.observe(m, map[string]float64{"mail": share}, 8*share)
 		}
 	}
 	data, err := m.Encode()
@@ -247,14 +247,14 @@
 
 // TestManyImagesUseBoundedMemory guards against unbounded memory, since callers choose the names of images.
 func TestManyImagesUseBoundedMemory(t *testing.T) {
-	m, d := NewModel(), newSimulatedTask(0)
+	m, s := NewModel(), newSimulatedTask(0)
 	for n := range 3 * maxServing {
-		d.now = d.now.Add(time.Millisecond)
+		s.now = s.now.Add(time.Millisecond)
 		bestEffort := fmt.Sprint("mail", n)
-		m.Observe(d.now, Sample{
+		m.Observe(s.now, Sample{
 			Image: fmt.Sprint("web", n), Load: fmt.Sprint("load", n), Headrooms: []float64{2}, TargetMillis: targetMillis,
 		}, map[string]float64{bestEffort: 0.1})
-		m.Observe(d.now, Sample{
+		m.Observe(s.now, Sample{
 			Image: "web0", Load: fmt.Sprint("load", n), Headrooms: []float64{2}, TargetMillis: targetMillis,
 		}, map[string]float64{bestEffort: 0.1})
 	}
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -95,7 +95,7 @@
 // BlocksBatch reports whether new batch tasks are kept off the VM.
 func (s *State) BlocksBatch() bool { return s.batchBlocked }
 
-// SlackAt returns the slowdown that batch tasks may cause to a service at a share of its target, 0 if unknown.
+// SlackAt returns the slowdown that batch tasks may cause to a service with a ratio of latency to target, 0 if unknown.
 func (p Policy) SlackAt(ratio float64) float64 {
 	if ratio <= 0 {
 		return p.Slack
@@ -108,7 +108,8 @@
 
 // Step updates the throttles, and reports whether one batch task is to be checkpointed and moved.
 //
-// The expected slowdown is kept within the slack in advance; a measured slowdown beyond it lowers that budget.
+// The throttles keep the expected slowdown within a budget before it is measured; a measured slowdown beyond the slack
+// lowers the budget.
 func (p Policy) Step(s *State, in Input) bool {
 	if s.updatedAt.IsZero() {
 		s.budget = 1
--- a/internal/remedy/remedy_test.go
+++ b/internal/remedy/remedy_test.go
@@ -28,7 +28,7 @@
 		blocksBatch, evicts bool
 	}{
 		{"no throttle far from the target", Input{LatencyRatio: 0.1, Loads: loads}, Unthrottled, Unthrottled, false, false},
-		{"most harmful workload throttled first, as far as needed", Input{LatencyRatio: 0.58, Loads: loads}, 13, Unthrottled, false, false},
+		{"workload with the most slowdown throttled first, as far as needed", Input{LatencyRatio: 0.58, Loads: loads}, 13, Unthrottled, false, false},
 		{"budget lowered by measured slowdown beyond the slack", Input{LatencyRatio: 0.78, Slowdown: 0.5, Loads: loads}, 10, 10, true, false},
 		{"eviction if the slowdown persists at the lowest throttle", Input{LatencyRatio: 1.2, Slowdown: 0.5, Loads: loads}, 10, 10, true, true},
 		{"no eviction for a service that is slow by itself", Input{LatencyRatio: 1.2, Loads: loads}, 13, Unthrottled, false, false},
