--- a/internal/incarnation/doc.go
+++ b/internal/incarnation/doc.go
@@ -1,2 +1,2 @@
-// Package incarnation identifies the starts of a worker, which may start again under the id that it had.
+// Package incarnation identifies the incarnations of a worker, which may restart under the same identifier.
 package incarnation
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -7,41 +7,41 @@
 
 // ID identifies one incarnation of a worker; the zero ID identifies none.
 //
-// The time of birth is an identity and no order: it is a time of day, which may step back.
+// The start time only tells incarnations apart; it doesn't order them, since the wall clock may step back.
 type ID struct {
-	worker string
-	born   int64
+	worker      string
+	startMillis int64
 }
 
-// New returns the incarnation of a worker that was born at a Unix millisecond, 0 where the worker does not report that.
-func New(worker string, born int64) ID { return ID{worker: worker, born: born} }
+// New returns the incarnation of a worker that started at a Unix millisecond, 0 if the worker does not report its start time.
+func New(worker string, startMillis int64) ID { return ID{worker: worker, startMillis: startMillis} }
 
-// Worker returns the id under which the worker is called, which later incarnations may share.
+// Worker returns the identifier used to address the worker; later incarnations may reuse it.
 func (i ID) Worker() string { return i.worker }
 
-// StartMillis returns the Unix millisecond of the start, 0 where it is not known.
-func (i ID) StartMillis() int64 { return i.born }
+// StartMillis returns the start time in Unix milliseconds, 0 if it is unknown.
+func (i ID) StartMillis() int64 { return i.startMillis }
 
-// IsZero reports whether this identifies no incarnation.
+// IsZero reports whether the ID identifies no incarnation.
 func (i ID) IsZero() bool { return i == ID{} }
 
-// SameWorker reports whether both are incarnations of one worker, so that a call meant for one may reach the other.
+// SameWorker reports whether both are incarnations of one worker, so that a call addressed to one may reach the other.
 func (i ID) SameWorker(other ID) bool { return i.worker == other.worker }
 
-// MayEqual reports whether both may be one incarnation: processes of the release before leave the time of birth out.
+// MayEqual reports whether both may be one incarnation; processes of the previous release omit the start time.
 func (i ID) MayEqual(other ID) bool {
-	return i.worker == other.worker && (i.born == other.born || i.born == 0 || other.born == 0)
+	return i.worker == other.worker && (i.startMillis == other.startMillis || i.startMillis == 0 || other.startMillis == 0)
 }
 
-// String returns the id of the worker, and behind a slash the time of birth where that is known.
+// String returns the identifier of the worker, followed by a slash and the start time if that is known.
 func (i ID) String() string {
-	if i.born == 0 {
+	if i.startMillis == 0 {
 		return i.worker
 	}
-	return i.worker + "/" + strconv.FormatInt(i.born, 10)
+	return i.worker + "/" + strconv.FormatInt(i.startMillis, 10)
 }
 
-// Compare orders incarnations by worker and birth, for lists that are always in the same order.
+// Compare orders incarnations by worker and start time, to keep lists in a fixed order.
 func Compare(a, b ID) int {
-	return cmp.Or(cmp.Compare(a.worker, b.worker), cmp.Compare(a.born, b.born))
+	return cmp.Or(cmp.Compare(a.worker, b.worker), cmp.Compare(a.startMillis, b.startMillis))
 }
--- a/internal/job/advance.go
+++ b/internal/job/advance.go
@@ -1,6 +1,6 @@
 package job
 
-// Place gives a waiting task to a worker and returns the number of its new run; run 0 asks for the next one.
+// Place assigns a waiting task to a worker and returns the number of the new run; run 0 selects the next number.
 func (j *Job) Place(t TaskID, host Host, run int) int {
 	task := j.Task(t)
 	if run == 0 {
@@ -9,11 +9,11 @@
 	task.phase = Placed
 	task.run = run
 	task.host = host
-	j.begun = true
+	j.everPlaced = true
 	return run
 }
 
-// Rehost records that a run that was placed on one host is on another now, and reports whether it did.
+// Rehost moves a placed run to another host in the records and reports whether the run was placed.
 func (j *Job) Rehost(t TaskID, run int, host Host) bool {
 	task := j.Task(t)
 	if task == nil || task.phase != Placed || task.run != run {
@@ -23,16 +23,16 @@
 	return true
 }
 
-// NextGangRun returns a run number above all runs of a step's tasks.
-func (j *Job) NextGangRun(k, step int) int {
+// NextGangRun returns a run number higher than every run of the step's tasks.
+func (j *Job) NextGangRun(iteration, step int) int {
 	run := 0
-	for i := range j.tasks[k][step] {
-		run = max(run, j.tasks[k][step][i].run)
+	for i := range j.tasks[iteration][step] {
+		run = max(run, j.tasks[iteration][step][i].run)
 	}
 	return run + 1
 }
 
-// Unplace takes back a run that surely never started; its number is not used again.
+// Unplace withdraws a run that is known never to have started; its number is not used again.
 func (j *Job) Unplace(t TaskID, run int) bool {
 	task := j.Task(t)
 	if task == nil || task.phase != Placed || task.run != run {
@@ -42,7 +42,7 @@
 	return true
 }
 
-// RecordEnd takes note of the end of a run and reports whether anything changed.
+// RecordEnd records the end of a run and reports whether anything changed.
 func (j *Job) RecordEnd(t TaskID, run int, end End, checkpoint string) bool {
 	task := j.Task(t)
 	if task == nil || task.run != run || task.phase == Done {
@@ -59,29 +59,29 @@
 	case step.LongRunning:
 		task.phase = Waiting
 	case end == EndDone:
-		j.finish(t, step)
+		j.markDone(t, step)
 	case end == EndFailed:
 		task.phase = Waiting
-		j.fail(t, step)
+		j.countFailure(t, step)
 	default:
 		task.phase = Waiting
 	}
 	return true
 }
 
-// finish marks the task as done, and all of a gang by one end.
-func (j *Job) finish(t TaskID, step *Step) {
+// markDone marks the task as done; one completed member completes the whole gang.
+func (j *Job) markDone(t TaskID, step *Step) {
 	tasks := j.tasks[t.Iteration][t.Step]
 	for i := range tasks {
 		if (step.Gang || i == t.Index) && tasks[i].phase != Done {
 			tasks[i].phase = Done
-			j.open--
+			j.unfinished--
 		}
 	}
 }
 
-// fail counts the failure, for a gang as that of all its members.
-func (j *Job) fail(t TaskID, step *Step) {
+// countFailure counts a failed run; failures of all members of a gang are counted together.
+func (j *Job) countFailure(t TaskID, step *Step) {
 	counted := &j.tasks[t.Iteration][t.Step][t.Index]
 	if step.Gang {
 		counted = &j.tasks[t.Iteration][t.Step][0]
@@ -92,7 +92,7 @@
 	}
 }
 
-// RecordCheckpoint takes note of a checkpoint of a running task and reports whether it is new.
+// RecordCheckpoint records a checkpoint of a running task and reports whether it is new.
 func (j *Job) RecordCheckpoint(t TaskID, run int, checkpoint string) bool {
 	task := j.Task(t)
 	if task == nil || task.phase != Placed || task.run != run || checkpoint == "" || task.checkpoint == checkpoint {
@@ -102,16 +102,16 @@
 	return true
 }
 
-// GangCheckpoint returns the checkpoint from which all members of a gang go on, empty for none.
-func (j *Job) GangCheckpoint(k, step int) string {
-	best := ""
-	for i := range j.tasks[k][step] {
-		best = max(best, j.tasks[k][step][i].checkpoint)
+// GangCheckpoint returns the checkpoint from which all members of a gang resume, or an empty string if there is none.
+func (j *Job) GangCheckpoint(iteration, step int) string {
+	latest := ""
+	for i := range j.tasks[iteration][step] {
+		latest = max(latest, j.tasks[iteration][step][i].checkpoint)
 	}
-	return best
+	return latest
 }
 
-// Cancel ends the job unless it has ended and reports whether it did.
+// Cancel cancels the job unless it has ended, and reports whether it did.
 func (j *Job) Cancel() bool {
 	if j.State().IsFinal() {
 		return false
@@ -120,12 +120,12 @@
 	return true
 }
 
-// Each calls visit with every task of the job.
+// Each calls visit for every task of the job.
 func (j *Job) Each(visit func(TaskID, *Task)) {
-	for k := range j.tasks {
-		for n := range j.tasks[k] {
-			for i := range j.tasks[k][n] {
-				visit(TaskID{Job: j.id, Iteration: k, Step: n, Index: i}, &j.tasks[k][n][i])
+	for iteration := range j.tasks {
+		for step := range j.tasks[iteration] {
+			for i := range j.tasks[iteration][step] {
+				visit(TaskID{Job: j.id, Iteration: iteration, Step: step, Index: i}, &j.tasks[iteration][step][i])
 			}
 		}
 	}
--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -8,33 +8,33 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// storedJob is an accepted job in the store; it never changes.
+// storedJob is the immutable record of an accepted job in the store.
 type storedJob struct {
-	_        struct{} `cbor:",toarray"`
-	Text     string
-	Steps    []storedStep
-	Times    int
-	Start    int64
-	Interval int64
-	Queue    storedQueue
-	Accepted int64
+	_          struct{} `cbor:",toarray"`
+	Text       string
+	Steps      []storedStep
+	Iterations int
+	Start      int64
+	Interval   int64
+	Queue      storedQueue
+	Accepted   int64
 }
 
 type storedStep struct {
-	_            struct{} `cbor:",toarray"`
-	Count        int
-	CPU          int
-	Memory       int
-	GPU          int
-	Estimate     int64
-	DependsOn    []int
-	Flags        uint
-	Requires     string
-	Affinity     string
-	AntiAffinity int
-	Image        string
-	Target       int64
-	MayMiss      int
+	_              struct{} `cbor:",toarray"`
+	Count          int
+	CPU            int
+	Memory         int
+	GPU            int
+	Estimate       int64
+	DependsOn      []int
+	Flags          uint
+	Requires       string
+	Affinity       string
+	AntiAffinity   int
+	Image          string
+	Target         int64
+	MaxUnavailable int
 }
 
 type storedQueue struct {
@@ -53,14 +53,14 @@
 	flagGang
 	flagSameRack
 	flagSpeculative
-	flagLasting
-	flagFills
+	flagLongRunning
+	flagBestEffort
 )
 
-// Encode returns the accepted job as it is stored.
+// Encode returns the stored form of an accepted job.
 func Encode(spec Spec, queue Queue, accepted time.Time) ([]byte, error) {
 	stored := storedJob{
-		Text: spec.Text, Times: spec.Iterations, Interval: spec.Interval.Milliseconds(), Accepted: accepted.UnixMilli(),
+		Text: spec.Text, Iterations: spec.Iterations, Interval: spec.Interval.Milliseconds(), Accepted: accepted.UnixMilli(),
 		Queue: storedQueue{
 			Name: queue.Name, Service: queue.Service, Priority: queue.Priority, Attempts: queue.Attempts,
 			Stretch: queue.Stretch, Target: queue.Target.Milliseconds(), Advised: queue.Advised,
@@ -72,18 +72,18 @@
 	for _, s := range spec.Steps {
 		stored.Steps = append(stored.Steps, storedStep{
 			Count: s.Count, CPU: s.Size.CPU, Memory: s.Size.Memory, GPU: s.Size.GPU, Estimate: s.Estimate.Milliseconds(),
-			DependsOn: s.DependsOn, Flags: flagsOf(s), Requires: s.Requires, Affinity: s.Affinity,
-			AntiAffinity: s.AntiAffinity, Image: s.Image, Target: s.Target.Microseconds(), MayMiss: s.MaxUnavailable,
+			DependsOn: s.DependsOn, Flags: encodeFlags(s), Requires: s.Requires, Affinity: s.Affinity,
+			AntiAffinity: s.AntiAffinity, Image: s.Image, Target: s.Target.Microseconds(), MaxUnavailable: s.MaxUnavailable,
 		})
 	}
 	return cbor.Marshal(stored)
 }
 
-func flagsOf(s Step) uint {
+func encodeFlags(s Step) uint {
 	var flags uint
 	for flag, set := range map[uint]bool{
 		flagCheckpoints: s.Checkpoints, flagGang: s.Gang, flagSameRack: s.SameRack,
-		flagSpeculative: s.Speculative, flagLasting: s.LongRunning, flagFills: s.BestEffort,
+		flagSpeculative: s.Speculative, flagLongRunning: s.LongRunning, flagBestEffort: s.BestEffort,
 	} {
 		if set {
 			flags |= flag
@@ -92,14 +92,14 @@
 	return flags
 }
 
-// Decode returns the stored job, with nothing begun.
+// Decode returns a stored job of which no task was placed yet.
 func Decode(id ID, data []byte) (*Job, error) {
 	var stored storedJob
 	if err := cbor.Unmarshal(data, &stored); err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "the record of job "+string(id)+" cannot be read")
 	}
-	spec := Spec{Text: stored.Text, Iterations: stored.Times, Interval: millis(stored.Interval)}
-	if stored.Times > 0 {
+	spec := Spec{Text: stored.Text, Iterations: stored.Iterations, Interval: millis(stored.Interval)}
+	if stored.Iterations > 0 {
 		spec.Start = time.UnixMilli(stored.Start)
 	}
 	for _, s := range stored.Steps {
@@ -107,13 +107,13 @@
 			Count: s.Count, Size: Size{CPU: s.CPU, Memory: s.Memory, GPU: s.GPU}, Estimate: millis(s.Estimate),
 			DependsOn: s.DependsOn, Checkpoints: s.Flags&flagCheckpoints != 0, Gang: s.Flags&flagGang != 0,
 			SameRack: s.Flags&flagSameRack != 0, Speculative: s.Flags&flagSpeculative != 0,
-			LongRunning: s.Flags&flagLasting != 0, BestEffort: s.Flags&flagFills != 0, Requires: s.Requires,
-			Affinity: s.Affinity, AntiAffinity: s.AntiAffinity, Image: s.Image, Target: time.Duration(s.Target) * time.Microsecond, MaxUnavailable: s.MayMiss,
+			LongRunning: s.Flags&flagLongRunning != 0, BestEffort: s.Flags&flagBestEffort != 0, Requires: s.Requires,
+			Affinity: s.Affinity, AntiAffinity: s.AntiAffinity, Image: s.Image, Target: time.Duration(s.Target) * time.Microsecond, MaxUnavailable: s.MaxUnavailable,
 		})
 	}
 	if err := spec.Check(); err != nil {
-		// Counts that no accepted job has would take a lead down that makes room for them.
-		return nil, fault.Wrap(err, fault.Internal, "the record of job "+string(id)+" is none of an accepted job")
+		// Task counts beyond the limits of accepted jobs would crash a leader that allocates the tasks.
+		return nil, fault.Wrap(err, fault.Internal, "the record of job "+string(id)+" is not that of an accepted job")
 	}
 	q := stored.Queue
 	queue := Queue{
--- a/internal/job/crashes.go
+++ b/internal/job/crashes.go
@@ -7,7 +7,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/crash"
 )
 
-// CrashUnit returns the task by which crashes are counted: the first one of a gang, whose members share all ends, else the task.
+// CrashUnit returns the task that crashes and losses are counted for: the first member of a gang, since all members end together, else the task itself.
 func (j *Job) CrashUnit(t TaskID) TaskID {
 	if j.spec.Steps[t.Step].Gang {
 		t.Index = 0
@@ -15,83 +15,83 @@
 	return t
 }
 
-// RecordCrash takes note of what the crash of a worker says of a run that it had, and reports whether anything changed. It is
-// counted once for each run, and with the job, so that each next lead knows it: a count that one process keeps lets work that
-// crashes its workers start anew with each lead.
-func (j *Job) RecordCrash(t TaskID, run int, f crash.Finding) bool {
+// RecordCrash adds the attribution of a worker crash to the task of a run, once for each run, and reports whether anything changed.
+// The count is stored with the job: kept in one process, it would restart at zero with each new leader for tasks that crash workers.
+func (j *Job) RecordCrash(t TaskID, run int, finding crash.Finding) bool {
 	task := j.Task(t)
-	if task == nil || j.State().IsFinal() || task.phase == Done || run > task.run || f.Attribution() == crash.NotCause {
+	if task == nil || j.State().IsFinal() || task.phase == Done || run > task.run || finding.Attribution() == crash.NotCause {
 		return false
 	}
 	unit := j.Task(j.CrashUnit(t))
-	if run <= unit.judged {
+	if run <= unit.crashRun {
 		return false
 	}
-	unit.judged = run
-	unit.suspicion = unit.suspicion.After(f)
-	if unit.suspicion.GivesUp(f) {
+	unit.crashRun = run
+	unit.history = unit.history.After(finding)
+	if unit.history.GivesUp(finding) {
 		j.failed = true
 	}
 	return true
 }
 
-// RecordLoss takes note that a run was lost with its worker, and reports whether that was counted. The count is stored with the record that lets the task wait again: no later run can be committed without it.
-func (j *Job) RecordLoss(t TaskID, run int, l crash.Loss) bool {
+// RecordLoss counts a run that was lost with its worker and reports whether it was counted. The count is stored in the same record
+// that returns the task to waiting, so no later run can be committed without it.
+func (j *Job) RecordLoss(t TaskID, run int, loss crash.Loss) bool {
 	task := j.Task(t)
 	if task == nil || j.State().IsFinal() || task.phase != Placed || run != task.run {
 		return false
 	}
 	unit := j.Task(j.CrashUnit(t))
-	if run <= unit.lost {
+	if run <= unit.lostRun {
 		return false
 	}
-	unit.lost = run
-	if !l.Crashed() {
-		unit.unseen = append(unit.unseen, run)
+	unit.lostRun = run
+	if !loss.Crashed() {
+		unit.unresolved = append(unit.unresolved, run)
 	}
-	j.setLosses(unit, unit.suspicion.Losses().Add(l))
+	j.setLosses(unit, unit.history.Losses().Add(loss))
 	return true
 }
 
-// ResolveLoss takes note of whether a worker that was lost sight of under a run has crashed, and reports whether anything changed.
+// ResolveLoss records whether the worker of a lost run, which was unreachable, has crashed, and reports whether anything changed.
 func (j *Job) ResolveLoss(t TaskID, run int, crashed bool) bool {
 	task := j.Task(t)
 	if task == nil || j.State().IsFinal() || task.phase == Done {
 		return false
 	}
 	unit := j.Task(j.CrashUnit(t))
-	at := slices.Index(unit.unseen, run)
-	if at < 0 {
+	index := slices.Index(unit.unresolved, run)
+	if index < 0 {
 		return false
 	}
-	unit.unseen = slices.Delete(unit.unseen, at, at+1)
-	j.setLosses(unit, unit.suspicion.Losses().Resolve(crashed))
+	unit.unresolved = slices.Delete(unit.unresolved, index, index+1)
+	j.setLosses(unit, unit.history.Losses().Resolve(crashed))
 	return true
 }
 
-// setLosses changes the losses of a task, and gives the job up where they are spent.
-func (j *Job) setLosses(unit *Task, l crash.Losses) {
-	unit.suspicion = unit.suspicion.WithLosses(l)
-	j.failed = j.failed || l.Exhausted()
+// setLosses replaces the losses of a task, and fails the job if they are exhausted.
+func (j *Job) setLosses(unit *Task, losses crash.Losses) {
+	unit.history = unit.history.WithLosses(losses)
+	j.failed = j.failed || losses.Exhausted()
 }
 
-// RecordRunAge takes note that a run was seen to live for a time, and reports whether less is held against its task now.
+// RecordRunAge records that a run has reached an age, and reports whether that reduced the crash history of its task.
 func (j *Job) RecordRunAge(t TaskID, run int, age time.Duration) bool {
 	task := j.Task(t)
 	if task == nil || task.run != run || task.phase != Placed {
 		return false
 	}
 	unit := j.Task(j.CrashUnit(t))
-	before := unit.suspicion
-	unit.suspicion = before.Survived(age)
-	if unit.suspicion.Losses() == (crash.Losses{}) {
-		unit.unseen = nil
+	before := unit.history
+	unit.history = before.Survived(age)
+	if unit.history.Losses() == (crash.Losses{}) {
+		unit.unresolved = nil
 	}
-	return unit.suspicion != before
+	return unit.history != before
 }
 
-// Suspicion returns what is held against a task for crashes of workers.
-func (j *Job) Suspicion(t TaskID) crash.History { return j.Task(j.CrashUnit(t)).suspicion }
+// Suspicion returns the crash history of a task.
+func (j *Job) Suspicion(t TaskID) crash.History { return j.Task(j.CrashUnit(t)).history }
 
-// LastCrashCounted reports whether the latest crash that was counted was under this run of a task.
-func (j *Job) LastCrashCounted(t TaskID, run int) bool { return run == j.Task(j.CrashUnit(t)).judged }
+// LastCrashCounted reports whether the latest counted crash of a task was that of this run.
+func (j *Job) LastCrashCounted(t TaskID, run int) bool { return run == j.Task(j.CrashUnit(t)).crashRun }
--- a/internal/job/doc.go
+++ b/internal/job/doc.go
@@ -1,2 +1,2 @@
-// Package job models a job on the platform: its steps, tasks and runs, and how they advance.
+// Package job models a platform job: its steps, tasks and runs, and the transitions between their states.
 package job
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -11,7 +11,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/incarnation"
 )
 
-// storedProgress is how far a job is; tasks that never had a run are left out.
+// storedProgress is the progress of a job in the store; tasks that never had a run are omitted.
 type storedProgress struct {
 	_     struct{} `cbor:",toarray"`
 	State int
@@ -19,76 +19,76 @@
 	Tasks []storedTask
 }
 
-// storedHeld is the progress of a job against tasks of which something is held. Jobs without any are stored as above, which leads of
-// earlier releases read as well while one is rolled out.
-type storedHeld[T storedSuspect | earlierSuspect] struct {
-	_        struct{} `cbor:",toarray"`
-	State    int
-	Hosts    []storedHost
-	Tasks    []storedTask
-	Suspects []T
+// storedProgressWithCrashes is the progress of a job with crash histories of its tasks. Jobs without any are stored as storedProgress,
+// which leaders of earlier releases can also decode during a rolling upgrade.
+type storedProgressWithCrashes[T storedHistory | previousHistory] struct {
+	_         struct{} `cbor:",toarray"`
+	State     int
+	Hosts     []storedHost
+	Tasks     []storedTask
+	Histories []T
 }
 
-type storedSuspect struct {
-	_       struct{} `cbor:",toarray"`
-	Time    int
-	Step    int
-	Index   int
-	Crashes int
-	Doubts  int
-	Judged  int
-	// Lost is the latest run that was counted as lost, Unseen are those that were with a worker out of sight.
-	Lost   int
-	Unseen []int
-	All    int
-	Over   int
-	Alike  int
-	Blind  int
-	// Longest is in milliseconds.
-	Longest int64
+type storedHistory struct {
+	_               struct{} `cbor:",toarray"`
+	Iteration       int
+	Step            int
+	Index           int
+	LikelyCrashes   int
+	PossibleCrashes int
+	CrashRun        int
+	// LostRun is the latest run counted as lost; Unresolved are lost runs whose worker is unreachable and may not have crashed.
+	LostRun          int
+	Unresolved       []int
+	Losses           int
+	CrashedLosses    int
+	SimilarLosses    int
+	UnknownLifetimes int
+	// LongestMillis is the longest known lifetime of a lost run.
+	LongestMillis int64
 }
 
-// earlierSuspect is a suspect as leads of the release before stored it.
-type earlierSuspect struct {
-	_       struct{} `cbor:",toarray"`
-	Time    int
-	Step    int
-	Index   int
-	Crashes int
-	Doubts  int
-	Judged  int
+// previousHistory is a crash history as stored by leaders of the previous release.
+type previousHistory struct {
+	_               struct{} `cbor:",toarray"`
+	Iteration       int
+	Step            int
+	Index           int
+	LikelyCrashes   int
+	PossibleCrashes int
+	CrashRun        int
 }
 
-// storedHost is a host by the id of its worker. The times of birth follow as further hosts without a VM, in the same order: leaders of the
-// release before read past them.
+// storedHost is a host by the identifier of its worker. The start times of the incarnations follow the hosts in the same list, as entries
+// without a VM in the same order, which leaders of the previous release ignore.
 type storedHost struct {
 	_        struct{} `cbor:",toarray"`
 	VM       string
 	Instance string
 }
 
-// hostsOf returns the hosts that are stored, with their times of birth where those are stored too.
-func hostsOf(stored []storedHost) []Host {
+// decodeHosts returns the stored hosts with the start times of their incarnations, if those are stored.
+func decodeHosts(stored []storedHost) []Host {
 	count := slices.IndexFunc(stored, func(h storedHost) bool { return h.VM == "" })
 	if count < 0 {
 		count = len(stored)
 	}
-	births := stored[count:]
+	startTimes := stored[count:]
 	hosts := make([]Host, count)
 	for i, h := range stored[:count] {
-		born := int64(0)
-		if i < len(births) {
-			// A time that cannot be read is not known.
-			born, _ = strconv.ParseInt(births[i].Instance, 10, 64)
+		startMillis := int64(0)
+		if i < len(startTimes) {
+			// An unreadable start time counts as unknown.
+			startMillis, _ = strconv.ParseInt(startTimes[i].Instance, 10, 64)
 		}
-		hosts[i] = Host{VM: h.VM, Incarnation: incarnation.New(h.Instance, born)}
+		hosts[i] = Host{VM: h.VM, Incarnation: incarnation.New(h.Instance, startMillis)}
 	}
 	return hosts
 }
 
 type storedTask struct {
 	_          struct{} `cbor:",toarray"`
-	Time       int
+	Iteration  int
 	Step       int
 	Index      int
 	Phase      int
@@ -98,73 +98,73 @@
 	Checkpoint string
 }
 
-// EncodeProgress returns how far the job is, as it is stored.
+// EncodeProgress returns the stored form of the job's progress.
 func (j *Job) EncodeProgress() ([]byte, error) {
 	stored := storedProgress{State: int(j.State())}
 	hosts := make(map[Host]int)
-	var births []storedHost
-	var suspects []storedSuspect
+	var startTimes []storedHost
+	var histories []storedHistory
 	j.Each(func(id TaskID, t *Task) {
 		if t.run == 0 && t.phase == Waiting {
 			return
 		}
 		row := storedTask{
-			Time: id.Iteration, Step: id.Step, Index: id.Index, Phase: int(t.phase), Run: t.run,
+			Iteration: id.Iteration, Step: id.Step, Index: id.Index, Phase: int(t.phase), Run: t.run,
 			Failures: t.failures, Checkpoint: t.checkpoint,
 		}
 		if t.phase == Placed {
 			if _, known := hosts[t.host]; !known {
 				stored.Hosts = append(stored.Hosts, storedHost{VM: t.host.VM, Instance: t.host.Incarnation.Worker()})
-				births = append(births, storedHost{Instance: strconv.FormatInt(t.host.Incarnation.StartMillis(), 10)})
+				startTimes = append(startTimes, storedHost{Instance: strconv.FormatInt(t.host.Incarnation.StartMillis(), 10)})
 				hosts[t.host] = len(stored.Hosts)
 			}
 			row.Host = hosts[t.host]
 		}
 		stored.Tasks = append(stored.Tasks, row)
-		if t.judged > 0 || t.lost > 0 {
-			suspects = append(suspects, t.suspect(id))
+		if t.crashRun > 0 || t.lostRun > 0 {
+			histories = append(histories, t.encodeHistory(id))
 		}
 	})
-	stored.Hosts = append(stored.Hosts, births...)
-	if len(suspects) == 0 {
+	stored.Hosts = append(stored.Hosts, startTimes...)
+	if len(histories) == 0 {
 		return cbor.Marshal(stored)
 	}
-	return cbor.Marshal(storedHeld[storedSuspect]{State: stored.State, Hosts: stored.Hosts, Tasks: stored.Tasks, Suspects: suspects})
+	return cbor.Marshal(storedProgressWithCrashes[storedHistory]{State: stored.State, Hosts: stored.Hosts, Tasks: stored.Tasks, Histories: histories})
 }
 
-// suspect returns what is held against the task, as it is stored.
-func (t *Task) suspect(id TaskID) storedSuspect {
-	losses := t.suspicion.Losses()
-	return storedSuspect{
-		Time: id.Iteration, Step: id.Step, Index: id.Index, Judged: t.judged,
-		Crashes: t.suspicion.LikelyCrashes(), Doubts: t.suspicion.PossibleCrashes(),
-		Lost: t.lost, Unseen: t.unseen, All: losses.Total(), Over: losses.Crashed(),
-		Alike: losses.Similar(), Blind: losses.UnknownLifetime(), Longest: losses.LongestLifetime().Milliseconds(),
+// encodeHistory returns the stored form of the task's crash history.
+func (t *Task) encodeHistory(id TaskID) storedHistory {
+	losses := t.history.Losses()
+	return storedHistory{
+		Iteration: id.Iteration, Step: id.Step, Index: id.Index, CrashRun: t.crashRun,
+		LikelyCrashes: t.history.LikelyCrashes(), PossibleCrashes: t.history.PossibleCrashes(),
+		LostRun: t.lostRun, Unresolved: t.unresolved, Losses: losses.Total(), CrashedLosses: losses.Crashed(),
+		SimilarLosses: losses.Similar(), UnknownLifetimes: losses.UnknownLifetime(), LongestMillis: losses.LongestLifetime().Milliseconds(),
 	}
 }
 
-// decodeProgress reads a stored progress, with suspects of this release or the one before, or without any.
-func decodeProgress(data []byte) (storedHeld[storedSuspect], error) {
-	var full storedHeld[storedSuspect]
-	if cbor.Unmarshal(data, &full) == nil {
-		return full, nil
+// decodeProgress decodes stored progress, with crash histories of this or the previous release, or without any.
+func decodeProgress(data []byte) (storedProgressWithCrashes[storedHistory], error) {
+	var current storedProgressWithCrashes[storedHistory]
+	if cbor.Unmarshal(data, &current) == nil {
+		return current, nil
 	}
-	var earlier storedHeld[earlierSuspect]
-	if cbor.Unmarshal(data, &earlier) == nil {
-		full = storedHeld[storedSuspect]{State: earlier.State, Hosts: earlier.Hosts, Tasks: earlier.Tasks}
-		for _, e := range earlier.Suspects {
-			full.Suspects = append(full.Suspects, storedSuspect{
-				Time: e.Time, Step: e.Step, Index: e.Index, Crashes: e.Crashes, Doubts: e.Doubts, Judged: e.Judged,
+	var previous storedProgressWithCrashes[previousHistory]
+	if cbor.Unmarshal(data, &previous) == nil {
+		current = storedProgressWithCrashes[storedHistory]{State: previous.State, Hosts: previous.Hosts, Tasks: previous.Tasks}
+		for _, e := range previous.Histories {
+			current.Histories = append(current.Histories, storedHistory{
+				Iteration: e.Iteration, Step: e.Step, Index: e.Index, LikelyCrashes: e.LikelyCrashes, PossibleCrashes: e.PossibleCrashes, CrashRun: e.CrashRun,
 			})
 		}
-		return full, nil
+		return current, nil
 	}
 	var plain storedProgress
 	err := cbor.Unmarshal(data, &plain)
-	return storedHeld[storedSuspect]{State: plain.State, Hosts: plain.Hosts, Tasks: plain.Tasks}, err
+	return storedProgressWithCrashes[storedHistory]{State: plain.State, Hosts: plain.Hosts, Tasks: plain.Tasks}, err
 }
 
-// DecodeState returns the state of a stored progress.
+// DecodeState returns the state of the job in its stored progress.
 func DecodeState(data []byte) (State, error) {
 	stored, err := decodeProgress(data)
 	if err != nil {
@@ -173,32 +173,32 @@
 	return State(stored.State), nil
 }
 
-// ApplyProgress brings a decoded job to a stored progress.
+// ApplyProgress sets a newly decoded job to its stored progress.
 func (j *Job) ApplyProgress(data []byte) error {
 	stored, err := decodeProgress(data)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "the progress of job "+string(j.id)+" cannot be read")
 	}
-	hosts := hostsOf(stored.Hosts)
+	hosts := decodeHosts(stored.Hosts)
 	for _, row := range stored.Tasks {
-		task := j.Task(TaskID{Job: j.id, Iteration: row.Time, Step: row.Step, Index: row.Index})
+		task := j.Task(TaskID{Job: j.id, Iteration: row.Iteration, Step: row.Step, Index: row.Index})
 		if task == nil {
-			return fault.New(fault.Internal, "the progress of job %s names a task that it has not", j.id)
+			return fault.New(fault.Internal, "the progress of job %s refers to a task that the job does not have", j.id)
 		}
 		*task = Task{phase: Phase(row.Phase), run: row.Run, failures: row.Failures, checkpoint: row.Checkpoint}
 		if row.Host > 0 && row.Host <= len(hosts) {
 			task.host = hosts[row.Host-1]
 		}
 		if task.phase == Done {
-			j.open--
+			j.unfinished--
 		}
-		j.begun = j.begun || task.run > 0
+		j.everPlaced = j.everPlaced || task.run > 0
 	}
-	for _, row := range stored.Suspects {
-		if task := j.Task(TaskID{Job: j.id, Iteration: row.Time, Step: row.Step, Index: row.Index}); task != nil {
-			losses := crash.NewLosses(row.All, row.Over, row.Alike, row.Blind, millis(row.Longest))
-			task.suspicion = crash.NewHistory(row.Crashes, row.Doubts).WithLosses(losses)
-			task.judged, task.lost, task.unseen = row.Judged, row.Lost, row.Unseen
+	for _, row := range stored.Histories {
+		if task := j.Task(TaskID{Job: j.id, Iteration: row.Iteration, Step: row.Step, Index: row.Index}); task != nil {
+			losses := crash.NewLosses(row.Losses, row.CrashedLosses, row.SimilarLosses, row.UnknownLifetimes, millis(row.LongestMillis))
+			task.history = crash.NewHistory(row.LikelyCrashes, row.PossibleCrashes).WithLosses(losses)
+			task.crashRun, task.lostRun, task.unresolved = row.CrashRun, row.LostRun, row.Unresolved
 		}
 	}
 	j.failed = State(stored.State) == Failed
--- a/internal/job/script_test.go
+++ b/internal/job/script_test.go
@@ -16,7 +16,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/scripttest"
 )
 
-// TestScripts plays what happens to jobs: each archive has the steps of one job, one a line, and what is done and expected.
+// TestScripts applies scripted events to jobs: each archive defines the steps of one job, one per line, and the events with their
+// expected results.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, archive *txtar.Archive) {
 		parts := make(map[string]string)
@@ -25,27 +26,27 @@
 		}
 		j := New("00000000000000aa", parseSpec(t, parts["job"]), Queue{Attempts: 2, Stretch: 2}, time.Unix(1000, 0))
 		for n, line := range strings.Split(strings.TrimSpace(parts["script"]), "\n") {
-			play(t, j, strings.Fields(line), fmt.Sprintf("line %d: %s", n+1, line))
-			j = restored(t, j)
+			runLine(t, j, strings.Fields(line), fmt.Sprintf("line %d: %s", n+1, line))
+			j = reload(t, j)
 		}
 	})
 }
 
-// restored brings the job through the store, which must change nothing.
-func restored(t *testing.T, j *Job) *Job {
+// reload encodes and decodes the job, which must not change it.
+func reload(t *testing.T, j *Job) *Job {
 	t.Helper()
 	accepted, err := Encode(j.spec, j.queue, j.accepted)
 	assert.NilError(t, err)
 	progress, err := j.EncodeProgress()
 	assert.NilError(t, err)
-	again, err := Decode(j.id, accepted)
+	decoded, err := Decode(j.id, accepted)
 	assert.NilError(t, err)
-	assert.NilError(t, again.ApplyProgress(progress))
-	assert.Equal(t, again.State(), j.State())
-	return again
+	assert.NilError(t, decoded.ApplyProgress(progress))
+	assert.Equal(t, decoded.State(), j.State())
+	return decoded
 }
 
-// parseSpec reads lines like "times 2" and "step 3 after=0,1 gang lasting saves".
+// parseSpec parses lines like "times 2" and "step 3 after=0,1 gang lasting saves".
 func parseSpec(t *testing.T, text string) Spec {
 	t.Helper()
 	var spec Spec
@@ -74,7 +75,7 @@
 			case "saves":
 				step.Checkpoints = true
 			default:
-				t.Fatalf("%s: what is %s?", line, name)
+				t.Fatalf("%s: unknown option %s", line, name)
 			}
 		}
 		spec.Steps = append(spec.Steps, step)
@@ -83,59 +84,59 @@
 	return spec
 }
 
-func play(t *testing.T, j *Job, words []string, where string) {
+func runLine(t *testing.T, j *Job, words []string, line string) {
 	t.Helper()
 	task := func() TaskID {
 		id, ok := ParseTaskID(string(j.id) + "." + words[1])
-		assert.Assert(t, ok, where)
+		assert.Assert(t, ok, line)
 		return id
 	}
 	number := func(n int) int {
 		value, err := strconv.Atoi(words[n])
-		assert.NilError(t, err, where)
+		assert.NilError(t, err, line)
 		return value
 	}
-	yes := func(n int) bool { return words[n] == "yes" }
+	isYes := func(n int) bool { return words[n] == "yes" }
 	switch words[0] {
 	case "place":
-		assert.Equal(t, j.Place(task(), Host{VM: words[2], Incarnation: incarnation.New(words[2]+"-1", 0)}, 0), number(3), where)
+		assert.Equal(t, j.Place(task(), Host{VM: words[2], Incarnation: incarnation.New(words[2]+"-1", 0)}, 0), number(3), line)
 	case "end":
 		checkpoint := ""
 		if len(words) > 5 {
 			checkpoint = words[5]
 		}
-		assert.Equal(t, j.RecordEnd(task(), number(2), endOf(t, words[3]), checkpoint), yes(4), where)
+		assert.Equal(t, j.RecordEnd(task(), number(2), parseEnd(t, words[3]), checkpoint), isYes(4), line)
 	case "unplace":
-		assert.Equal(t, j.Unplace(task(), number(2)), yes(3), where)
+		assert.Equal(t, j.Unplace(task(), number(2)), isYes(3), line)
 	case "cancel":
-		assert.Equal(t, j.Cancel(), yes(1), where)
+		assert.Equal(t, j.Cancel(), isYes(1), line)
 	case "state":
-		assert.Equal(t, j.State().String(), words[1], where)
+		assert.Equal(t, j.State().String(), words[1], line)
 	case "crash":
-		blame := map[string]crash.Attribution{"cleared": crash.NotCause, "possible": crash.PossibleCause, "likely": crash.LikelyCause}[words[3]]
-		assert.Equal(t, j.RecordCrash(task(), number(2), crash.NewFinding(blame, words[4] == "alone")), yes(5), where)
+		attribution := map[string]crash.Attribution{"cleared": crash.NotCause, "possible": crash.PossibleCause, "likely": crash.LikelyCause}[words[3]]
+		assert.Equal(t, j.RecordCrash(task(), number(2), crash.NewFinding(attribution, words[4] == "alone")), isYes(5), line)
 	case "lost":
-		assert.Equal(t, j.RecordLoss(task(), number(2), lossOf(words[3], time.Duration(number(4))*time.Millisecond)), yes(5), where)
+		assert.Equal(t, j.RecordLoss(task(), number(2), parseLoss(words[3], time.Duration(number(4))*time.Millisecond)), isYes(5), line)
 	case "settled":
-		assert.Equal(t, j.ResolveLoss(task(), number(2), words[3] == "crashed"), yes(4), where)
+		assert.Equal(t, j.ResolveLoss(task(), number(2), words[3] == "crashed"), isYes(4), line)
 	case "outlived":
-		assert.Equal(t, j.RecordRunAge(task(), number(2), time.Duration(number(3))*time.Millisecond), yes(4), where)
+		assert.Equal(t, j.RecordRunAge(task(), number(2), time.Duration(number(3))*time.Millisecond), isYes(4), line)
 	case "open":
-		assert.Equal(t, j.DependenciesDone(number(1), number(2)), yes(3), where)
+		assert.Equal(t, j.DependenciesDone(number(1), number(2)), isYes(3), line)
 	case "phase":
-		assert.Equal(t, j.Task(task()).Phase().String(), words[2], where)
+		assert.Equal(t, j.Task(task()).Phase().String(), words[2], line)
 	case "checkpoint":
-		assert.Equal(t, j.Task(task()).Checkpoint(), words[2], where)
+		assert.Equal(t, j.Task(task()).Checkpoint(), words[2], line)
 	case "remaining":
-		assert.Equal(t, j.RemainingTime(number(1)), time.Duration(number(2))*time.Second, where)
+		assert.Equal(t, j.RemainingTime(number(1)), time.Duration(number(2))*time.Second, line)
 	case "due":
-		assert.Equal(t, j.Due(number(1)).Unix(), int64(number(2)), where)
+		assert.Equal(t, j.Due(number(1)).Unix(), int64(number(2)), line)
 	default:
-		t.Fatalf("%s: unknown", where)
+		t.Fatalf("%s: unknown event", line)
 	}
 }
 
-func lossOf(name string, lived time.Duration) crash.Loss {
+func parseLoss(name string, lived time.Duration) crash.Loss {
 	switch name {
 	case "told":
 		return crash.ReportedLoss(lived, false)
@@ -145,13 +146,13 @@
 	return crash.UnreachableLoss()
 }
 
-func endOf(t *testing.T, name string) End {
+func parseEnd(t *testing.T, name string) End {
 	t.Helper()
 	for e := EndDone; e <= EndGangIncomplete; e++ {
 		if e.String() == name {
 			return e
 		}
 	}
-	t.Fatalf("no end is called %s", name)
+	t.Fatalf("unknown end %s", name)
 	return EndDone
 }
--- a/internal/job/spec_test.go
+++ b/internal/job/spec_test.go
@@ -14,42 +14,42 @@
 	"github.com/saffronpulley/saffronpulley/internal/incarnation"
 )
 
-func TestCheckRefusesWithASentence(t *testing.T) {
-	one := []Step{{Count: 1}}
-	for sentence, spec := range map[string]Spec{
+func TestCheckRejectsInvalidSpec(t *testing.T) {
+	oneStep := []Step{{Count: 1}}
+	for message, spec := range map[string]Spec{
 		"has no steps":       {},
-		"the text has":       {Text: strings.Repeat("x", MaxText+1), Steps: one},
+		"the text has":       {Text: strings.Repeat("x", MaxText+1), Steps: oneStep},
 		"step 0 has 0 tasks": {Steps: []Step{{}}},
 		"negative number":    {Steps: []Step{{Count: 1, Size: Size{CPU: -1}}}},
 		"is not before it":   {Steps: []Step{{Count: 1, DependsOn: []int{0}}}},
-		"repeats -1 times":   {Steps: one, Iterations: -1},
+		"repeats -1 times":   {Steps: oneStep, Iterations: -1},
 		"has 40000 tasks":    {Steps: []Step{{Count: MaxTasks}, {Count: MaxTasks}}},
 	} {
 		err := spec.Check()
-		assert.ErrorContains(t, err, sentence)
+		assert.ErrorContains(t, err, message)
 		assert.Assert(t, fault.Is(err, fault.BadInput))
 	}
-	assert.NilError(t, Spec{Steps: one}.Check())
+	assert.NilError(t, Spec{Steps: oneStep}.Check())
 }
 
-func TestTaskIDReadsWhatItWrites(t *testing.T) {
+func TestTaskIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.IntRange(0, 1000)
 		id := TaskID{
-			Job: ID(rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job")), Iteration: number.Draw(t, "time"),
+			Job: ID(rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job")), Iteration: number.Draw(t, "iteration"),
 			Step: number.Draw(t, "step"), Index: number.Draw(t, "index"),
 		}
 		read, ok := ParseTaskID(id.String())
 		assert.Assert(t, ok)
 		assert.Equal(t, read, id)
 	})
-	for _, wrong := range []string{"", "a.b", "a.0.0.-1", "a.0.0.0.0", "a.0.0.x"} {
-		_, ok := ParseTaskID(wrong)
-		assert.Assert(t, !ok, wrong)
+	for _, invalid := range []string{"", "a.b", "a.0.0.-1", "a.0.0.0.0", "a.0.0.x"} {
+		_, ok := ParseTaskID(invalid)
+		assert.Assert(t, !ok, invalid)
 	}
 }
 
-func TestChainAndWork(t *testing.T) {
+func TestCriticalPathAndRemainingWork(t *testing.T) {
 	spec := Spec{Steps: []Step{
 		{Count: 2, Estimate: time.Second, Size: Size{CPU: 500}},
 		{Count: 1, Estimate: 3 * time.Second, Size: Size{CPU: 2000}},
@@ -61,11 +61,11 @@
 	assert.Equal(t, j.RemainingWork(0), 8.0)
 }
 
-// TestSuspectsOfTheReleaseBeforeAreRead, so that a release is rolled out while jobs have some.
-func TestSuspectsOfTheReleaseBeforeAreRead(t *testing.T) {
+// TestDecodesHistoriesOfPreviousRelease guards rolling upgrades while jobs have crash histories.
+func TestDecodesHistoriesOfPreviousRelease(t *testing.T) {
 	const id ID = "00000000000000aa"
-	data, err := cbor.Marshal(storedHeld[earlierSuspect]{
-		State: int(Running), Tasks: []storedTask{{Run: 2}}, Suspects: []earlierSuspect{{Crashes: 1, Doubts: 2, Judged: 2}},
+	data, err := cbor.Marshal(storedProgressWithCrashes[previousHistory]{
+		State: int(Running), Tasks: []storedTask{{Run: 2}}, Histories: []previousHistory{{LikelyCrashes: 1, PossibleCrashes: 2, CrashRun: 2}},
 	})
 	assert.NilError(t, err)
 	j := New(id, Spec{Steps: []Step{{Count: 1}}}, Queue{}, time.Unix(1, 0))
@@ -74,8 +74,8 @@
 	assert.Assert(t, j.LastCrashCounted(TaskID{Job: id}, 2))
 }
 
-// TestBirthsOfWorkersAreStored, in a form that leaders of the release before read past.
-func TestBirthsOfWorkersAreStored(t *testing.T) {
+// TestStartTimesOfWorkersAreStored checks that start times are stored in a form that leaders of the previous release ignore.
+func TestStartTimesOfWorkersAreStored(t *testing.T) {
 	const id ID = "00000000000000aa"
 	spec := Spec{Steps: []Step{{Count: 3}}}
 	hosts := []Host{
@@ -88,25 +88,25 @@
 	}
 	data, err := j.EncodeProgress()
 	assert.NilError(t, err)
-	read := New(id, spec, Queue{}, time.Unix(1, 0))
-	assert.NilError(t, read.ApplyProgress(data))
-	var before storedProgress
-	assert.NilError(t, cbor.Unmarshal(data, &before))
+	decoded := New(id, spec, Queue{}, time.Unix(1, 0))
+	assert.NilError(t, decoded.ApplyProgress(data))
+	var previous storedProgress
+	assert.NilError(t, cbor.Unmarshal(data, &previous))
 	for i, h := range hosts {
-		assert.Equal(t, read.Task(TaskID{Job: id, Index: i}).Host(), h)
-		earlier := before.Hosts[before.Tasks[i].Host-1]
-		assert.Equal(t, earlier.VM, h.VM)
-		assert.Equal(t, earlier.Instance, h.Incarnation.Worker())
+		assert.Equal(t, decoded.Task(TaskID{Job: id, Index: i}).Host(), h)
+		host := previous.Hosts[previous.Tasks[i].Host-1]
+		assert.Equal(t, host.VM, h.VM)
+		assert.Equal(t, host.Instance, h.Incarnation.Worker())
 	}
-	before.Hosts = before.Hosts[:len(hosts)]
-	data, err = cbor.Marshal(before)
+	previous.Hosts = previous.Hosts[:len(hosts)]
+	data, err = cbor.Marshal(previous)
 	assert.NilError(t, err)
-	read = New(id, spec, Queue{}, time.Unix(1, 0))
-	assert.NilError(t, read.ApplyProgress(data))
-	assert.Equal(t, read.Task(TaskID{Job: id, Index: 0}).Host(), Host{VM: "a", Incarnation: incarnation.New("i-1", 0)}, "as the release before stored it")
+	decoded = New(id, spec, Queue{}, time.Unix(1, 0))
+	assert.NilError(t, decoded.ApplyProgress(data))
+	assert.Equal(t, decoded.Task(TaskID{Job: id, Index: 0}).Host(), Host{VM: "a", Incarnation: incarnation.New("i-1", 0)}, "as stored by the previous release")
 }
 
-// FuzzStored: whatever the store holds under a job's keys, it is read or refused.
+// FuzzStored checks that any value under a job's keys is either decoded or rejected with an error.
 func FuzzStored(f *testing.F) {
 	spec := Spec{Steps: []Step{{Count: 2}}}
 	j := New("00000000000000aa", spec, Queue{}, time.Unix(1000, 0))
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -9,7 +9,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/incarnation"
 )
 
-// TaskID names a task: its job, which of the job's times, its step, and its number in the step.
+// TaskID identifies a task by its job, the iteration of the job, its step and its index in the step.
 type TaskID struct {
 	Job       ID
 	Iteration int
@@ -17,13 +17,13 @@
 	Index     int
 }
 
-// String returns the name of the task as the worker knows it.
+// String returns the task name used in calls to the worker, in the form job.iteration.step.index.
 func (t TaskID) String() string { return t.StepName() + "." + strconv.Itoa(t.Index) }
 
-// StepName names the step of the task, of one time of its job.
+// StepName returns the name of the task's step in its iteration, in the form job.iteration.step.
 func (t TaskID) StepName() string { return fmt.Sprintf("%s.%d.%d", t.Job, t.Iteration, t.Step) }
 
-// ParseTaskID reads the name of a task.
+// ParseTaskID parses a task name in the form returned by String.
 func ParseTaskID(text string) (TaskID, bool) {
 	parts := strings.Split(text, ".")
 	var numbers [3]int
@@ -46,7 +46,7 @@
 	Incarnation incarnation.ID
 }
 
-// Phase says where a task stands.
+// Phase is the scheduling state of a task.
 type Phase int
 
 //go:generate stringer -type=Phase,State,End -linecomment -output=names_string.go
@@ -58,7 +58,7 @@
 	Done                 // done
 )
 
-// State is what callers are told of a job.
+// State is the state of a job as callers see it.
 type State int
 
 // The states of a job.
@@ -70,13 +70,14 @@
 	Canceled               // cancelled
 )
 
-// IsFinal reports whether the state no longer changes.
+// IsFinal reports whether the state can no longer change.
 func (s State) IsFinal() bool { return s >= Completed }
 
-// End is how a run ended.
+// End is the outcome of a run.
 type End int
 
-// The ends of a run.
+// The outcomes of a run. EndLapsed follows the expiry of its lease, EndGangBroken the end of another gang member, and
+// EndGangIncomplete a gang that lacked members.
 const (
 	EndDone           End = iota // done
 	EndFailed                    // failed
@@ -86,7 +87,7 @@
 	EndGangIncomplete            // alone
 )
 
-// ParseEnd returns the end of a name, false where there is none.
+// ParseEnd returns the outcome with a name, or false for an unknown name.
 func ParseEnd(name string) (End, bool) {
 	for e := EndDone; e <= EndGangIncomplete; e++ {
 		if e.String() == name {
@@ -96,30 +97,29 @@
 	return EndDone, false
 }
 
-// Task is the state of a task.
+// Task is the state of one task of a job.
 type Task struct {
 	phase      Phase
 	run        int
 	failures   int
 	host       Host
 	checkpoint string
-	// suspicion is what is held against the task for crashes of workers; judged is the latest run for which a crash was counted by
-	// what was told of it, lost the latest that was counted as lost, unseen are those that were while it was not known whether the
-	// worker had crashed.
-	suspicion crash.History
-	judged    int
-	lost      int
-	unseen    []int
+	// history records the worker crashes attributed to the task and its lost runs; crashRun is the latest run with a counted crash,
+	// lostRun the latest run counted as lost, unresolved are runs counted as lost while it was unknown whether the worker had crashed.
+	history    crash.History
+	crashRun   int
+	lostRun    int
+	unresolved []int
 }
 
-// Phase returns where the task stands.
+// Phase returns the scheduling state of the task.
 func (t *Task) Phase() Phase { return t.phase }
 
-// Run returns the number of the latest run, 0 before the first.
+// Run returns the number of the latest run, or 0 before the first.
 func (t *Task) Run() int { return t.run }
 
-// Host returns where the latest run was placed.
+// Host returns the worker incarnation on which the latest run was placed.
 func (t *Task) Host() Host { return t.host }
 
-// Checkpoint returns the latest saved progress, empty for none.
+// Checkpoint returns the latest checkpoint, or an empty string if there is none.
 func (t *Task) Checkpoint() string { return t.checkpoint }
