--- a/internal/fault/doc.go
+++ b/internal/fault/doc.go
@@ -1,3 +1,3 @@
-// Package fault holds the closed list of error kinds and the one table that
-// says how each kind is answered over HTTP, over RPC and by exit codes.
+// Package fault defines the closed set of error kinds and the table that
+// maps each kind to its HTTP status, its RPC answer and its exit code.
 package fault
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -4,10 +4,10 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind is one entry of the closed list of error kinds.
+// Kind is a kind of error.
 type Kind int
 
-// The error kinds, in the order of the answer table.
+// The error kinds, in the order of the answers table.
 const (
 	Internal         Kind = iota // internal
 	BadInput                     // bad_input
@@ -27,18 +27,18 @@
 	kindCount
 )
 
-// Answer says how an error kind is presented to a caller.
+// Answer is the way an error kind is presented to a caller.
 type Answer struct {
-	status  int
-	exit    int
-	ran     Ran
-	returns bool
+	status        int
+	exitCode      int
+	ran           Ran
+	hasRetryAfter bool
 }
 
-// Ran says what is known about whether the refused work ran.
+// Ran is what a caller can conclude about whether the failed work ran.
 type Ran string
 
-// The two things that an error answer may say about the work.
+// The values of Ran: the work did not run, or it may have run.
 const (
 	RanNo      Ran = "no"
 	RanUnknown Ran = "unknown"
@@ -62,7 +62,7 @@
 	Gone:             {http.StatusGone, 3, RanNo, false},
 }
 
-// Answer returns how the kind is answered; an undeclared kind is answered as Internal.
+// Answer returns the answer for the kind; an undeclared kind is answered as Internal.
 func (k Kind) Answer() Answer {
 	if k < 0 || k >= kindCount {
 		return answers[Internal]
@@ -73,16 +73,16 @@
 // Status returns the HTTP status code of the answer.
 func (a Answer) Status() int { return a.status }
 
-// ExitCode returns the exit code of a command that ends with the kind.
-func (a Answer) ExitCode() int { return a.exit }
+// ExitCode returns the exit code of a command that fails with the kind.
+func (a Answer) ExitCode() int { return a.exitCode }
 
-// Ran returns whether the work is known not to have run.
+// Ran returns RanNo if the work is known not to have run, RanUnknown otherwise.
 func (a Answer) Ran() Ran { return a.ran }
 
-// HasRetryAfter reports whether the caller should come back, so that the answer carries Retry-After.
-func (a Answer) HasRetryAfter() bool { return a.returns }
+// HasRetryAfter reports whether the caller should retry, so that the answer has a Retry-After header.
+func (a Answer) HasRetryAfter() bool { return a.hasRetryAfter }
 
-// ParseKind returns the kind with the given name, or Internal for a name that is not on the list.
+// ParseKind returns the kind with the given name, or Internal for an unknown name.
 func ParseKind(name string) Kind {
 	for k := Internal; k < kindCount; k++ {
 		if k.String() == name {
--- a/internal/host/doc.go
+++ b/internal/host/doc.go
@@ -1,2 +1,2 @@
-// Package host is the port to the worker beside an agent: orders, holds and what the worker tells of itself.
+// Package host defines the interface between an agent and the worker on its VM: orders, lease renewals and worker reports.
 package host
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -8,15 +8,15 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// Clock is a time on the worker's own steady clock, counted from its start.
+// Clock is a time on the worker's monotonic clock, which counts from the start of the worker.
 type Clock time.Duration
 
-// Refusal says why a worker did not do an order.
+// Refusal is a worker's answer to an order: accepted, or why it was refused.
 type Refusal int
 
 //go:generate stringer -type=Refusal -linecomment -output=refusal_string.go
 
-// The refusals of a worker.
+// The answers of a worker to an order.
 const (
 	Accepted        Refusal = iota // accepted
 	RefusedFence                   // fence
@@ -28,44 +28,44 @@
 	RefusedBusy                    // busy
 )
 
-// ParseRefusal returns the refusal of a name; an unknown name is RefusedWrong.
+// ParseRefusal returns the refusal with a name; an unknown name is RefusedInvalid.
 func ParseRefusal(name string) Refusal {
-	for r := RefusedFence; r <= RefusedBusy; r++ {
-		if r.String() == name {
-			return r
+	for refusal := RefusedFence; refusal <= RefusedBusy; refusal++ {
+		if refusal.String() == name {
+			return refusal
 		}
 	}
 	return RefusedInvalid
 }
 
-// Run is one start of a task.
+// Run identifies one start of a task.
 type Run struct {
 	Task   job.TaskID
 	Number int
 }
 
-// Start orders a run.
+// Start is the order to start a run.
 type Start struct {
 	Run        Run
 	Text       string
 	Until      Clock
 	Fence      uint64
 	Checkpoint string
-	// Ticket is the permission of the service that advises the queue, empty where none does.
+	// Ticket is the permit of the queue's advisory service for this start, empty for a queue without one.
 	Ticket string
 }
 
-// Running is a run that the worker has.
+// Running is the state of a run that has not ended.
 type Running struct {
 	Run        Run
 	Checkpoint string
-	// Percent is how much of its work is done, or 100 for a lasting task that is at work.
+	// Percent is the share of the work done, or 100 for a long-running task that has started up.
 	Percent int
-	// Measurement is the tail latency in milliseconds for a task that serves, else the thousandths of a core in use.
+	// Measurement is the tail latency in milliseconds of a serving task, or the thousandths of a core in use by any other task.
 	Measurement int
 }
 
-// EndedRun is the end of a run, numbered from 1 within an incarnation of the worker.
+// EndedRun is the end of a run; ends are numbered from 1 within an incarnation of the worker.
 type EndedRun struct {
 	Sequence   uint64
 	Run        Run
@@ -73,26 +73,26 @@
 	Checkpoint string
 }
 
-// View is what a worker has and had.
+// View is a worker's answer to a renewal: the runs in progress, and the ended runs that are not acknowledged yet.
 type View struct {
-	// Incarnation is the one that answered, which may be a later one than was called.
+	// Incarnation is the incarnation that answered, which may be newer than the one addressed.
 	Incarnation incarnation.ID
 	Running     []Running
 	Ended       []EndedRun
 	Clock       Clock
 }
 
-// Renewal renews the time of all that runs, lets ends up to Seen go, and asks for what runs.
+// Renewal extends the leases of all runs of a worker, acknowledges its ended runs up to a sequence number and requests its View.
 type Renewal struct {
 	Fence        uint64
 	Acknowledged uint64
-	// Until is a time on the worker's clock, 0 to renew nothing.
+	// Until is the new lease end on the worker's clock, 0 to extend no lease.
 	Until Clock
-	// Wait is how long the answer may wait for an end.
+	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
 }
 
-// Report is what a worker tells of itself.
+// Report is a worker's description of itself.
 type Report struct {
 	Incarnation incarnation.ID
 	Service     string
@@ -100,25 +100,25 @@
 	// Labels are the worker's kind and its rack.
 	Labels   []string
 	Draining bool
-	// Remaining is the least time left to a draining worker.
+	// Remaining is the minimum time until a draining worker stops.
 	Remaining time.Duration
 	Sequence  uint64
 	Clock     Clock
 }
 
-// Worker runs tasks beside an agent.
+// Worker runs tasks on the agent's VM.
 //
-// Calls reach any incarnation with the id that they name, and those of the zero ID whichever answers. Errors are of kind Stale when one with another id
-// answers, Unavailable when nothing was sent, and OutcomeUnknown when the order may have been done or may still be.
+// A call reaches any incarnation with the given worker identifier, or with the zero ID any worker that answers. Errors are of kind Stale
+// if a worker with another identifier answers, Unavailable if nothing was sent, and OutcomeUnknown if the order may be or become effective.
 type Worker interface {
-	// Start starts a run; it ends at its time unless a hold renews it.
+	// Start starts a run, which ends at the end of its lease unless Renew extends it.
 	Start(ctx context.Context, id incarnation.ID, order Start) (Refusal, error)
-	// Stop ends a run; one that never started never will.
+	// Stop ends a run; a run that has not started yet never starts.
 	Stop(ctx context.Context, id incarnation.ID, run Run, fence uint64) (Refusal, error)
-	// Pace sets the part of the processors, in percent, that a run may use of what it asks for.
+	// Pace limits a run to a percentage of the processors that it requested.
 	Pace(ctx context.Context, id incarnation.ID, run Run, percent int, fence uint64) (Refusal, error)
-	// LimitConnections bounds the connections that the worker is sent orders over, to what it takes at once.
+	// LimitConnections sets the maximum number of connections for orders, which is what the worker accepts at once.
 	LimitConnections(connections int)
-	// Renew renews what runs and returns what the worker has.
-	Renew(ctx context.Context, id incarnation.ID, hold Renewal) (View, Refusal, error)
+	// Renew extends the leases of all runs and returns the worker's View.
+	Renew(ctx context.Context, id incarnation.ID, renewal Renewal) (View, Refusal, error)
 }
--- a/internal/host/latecalls.go
+++ b/internal/host/latecalls.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// MaxCallDelay is how long after a call without an answer the worker may still carry it out.
+// MaxCallDelay is how long after a call that got no answer the worker may still carry it out.
 const MaxCallDelay = 15 * time.Second
 
-// LateCalls holds calls that the worker may still carry out, with when each was recorded last.
+// LateCalls maps calls that the worker may still carry out to the time each was last recorded.
 type LateCalls[K comparable] map[K]time.Time
 
-// Add records a call, and forgets those that are over.
+// Add records a call and removes those that the worker can no longer carry out.
 func (l LateCalls[K]) Add(call K, now time.Time) {
 	l[call] = now
-	for c := range l {
-		if !l.Has(c, now) {
-			delete(l, c)
+	for other := range l {
+		if !l.Has(other, now) {
+			delete(l, other)
 		}
 	}
 }
 
-// Has reports whether a call may still be carried out.
+// Has reports whether the worker may still carry out a call.
 func (l LateCalls[K]) Has(call K, now time.Time) bool {
-	recorded, known := l[call]
-	return known && now.Sub(recorded) <= MaxCallDelay
+	recordedAt, known := l[call]
+	return known && now.Sub(recordedAt) <= MaxCallDelay
 }
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,2 +1,2 @@
-// Package record names the keys that saffronpulley keeps in the store and encodes the small ones.
+// Package record defines the keys of saffronpulley in the store and encodes the records of the leader and of its last commit.
 package record
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -9,73 +9,73 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// Keys of the store. Entries write under InputPrefix, only the lead under ProgressPrefix; both hold a key for each job.
+// Keys of the store. Entries write under InputPrefix, only the leader writes under ProgressPrefix; each has a key per job.
 const (
 	LeaderKey     = "saffronpulley/lead"
 	LastCommitKey = "saffronpulley/chain"
-	// PressureKey holds what the leads have learned of images that slow each other.
+	// PressureKey holds the model of interference between images that the leaders have learned.
 	PressureKey    = "saffronpulley/pressure"
 	InputPrefix    = "saffronpulley/in/"
 	ProgressPrefix = "saffronpulley/run/"
 
-	jobs    = InputPrefix + "job/"
-	cancels = InputPrefix + "cancel/"
+	jobPrefix    = InputPrefix + "job/"
+	cancelPrefix = InputPrefix + "cancel/"
 )
 
-// JobKey returns the key of an accepted job, which never changes.
-func JobKey(id job.ID) string { return jobs + string(id) }
+// JobKey returns the key of an accepted job, whose value never changes.
+func JobKey(id job.ID) string { return jobPrefix + string(id) }
 
-// CancelKey returns the key that stands once a job was canceled.
-func CancelKey(id job.ID) string { return cancels + string(id) }
+// CancelKey returns the key that exists once a job is canceled.
+func CancelKey(id job.ID) string { return cancelPrefix + string(id) }
 
-// ProgressKey returns the key of how far a job is.
+// ProgressKey returns the key of a job's progress.
 func ProgressKey(id job.ID) string { return ProgressPrefix + string(id) }
 
-// ParseJobKey returns the job of an accepted job's key.
+// ParseJobKey returns the job of a key made by JobKey.
 func ParseJobKey(key string) (job.ID, bool) {
-	id, ok := strings.CutPrefix(key, jobs)
+	id, ok := strings.CutPrefix(key, jobPrefix)
 	return job.ID(id), ok
 }
 
-// ParseCancelKey returns the job of a cancellation's key.
+// ParseCancelKey returns the job of a key made by CancelKey.
 func ParseCancelKey(key string) (job.ID, bool) {
-	id, ok := strings.CutPrefix(key, cancels)
+	id, ok := strings.CutPrefix(key, cancelPrefix)
 	return job.ID(id), ok
 }
 
-// ParseProgressKey returns the job of a progress' key.
+// ParseProgressKey returns the job of a key made by ProgressKey.
 func ParseProgressKey(key string) (job.ID, bool) {
 	id, ok := strings.CutPrefix(key, ProgressPrefix)
 	return job.ID(id), ok
 }
 
-// Leader says who leads; it stands under a lease.
+// Leader is the record of the current leader; it is deleted when the leader's lease expires.
 type Leader struct {
 	_ struct{} `cbor:",toarray"`
-	// Process and Boot name the process and its life, Address is where agents and entries reach it.
+	// Process and Boot identify the process and its incarnation; Address is where agents and entries reach it.
 	Process string
 	Boot    string
 	Address string
-	// Epoch rises with each lead.
+	// Epoch increases with each leader.
 	Epoch uint64
 }
 
-// LastCommit is written with each commit of a lead, so that a commit of an earlier one, or one that was given up, fails.
+// LastCommit is written with each commit of a leader, so that late commits of an earlier leader or abandoned commits fail.
 type LastCommit struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch uint64
 	Boot  string
-	// Commit numbers the commits of the epoch from 0.
+	// Commit is the number of the commit in its epoch, from 0.
 	Commit uint64
 }
 
-// Encode returns the record as it is stored.
+// Encode returns the stored form of the record.
 func Encode[T Leader | LastCommit](record T) ([]byte, error) { return cbor.Marshal(record) }
 
-// DecodeLeader reads who leads.
+// DecodeLeader decodes the record of the leader.
 func DecodeLeader(data []byte) (Leader, error) { return decode[Leader](data, LeaderKey) }
 
-// DecodeLastCommit reads the last commit; no data is a chain that has not begun.
+// DecodeLastCommit decodes the record of the last commit; without data it returns the zero value, as before the first commit.
 func DecodeLastCommit(data []byte) (LastCommit, error) {
 	if len(data) == 0 {
 		return LastCommit{}, nil
--- a/internal/task/doc.go
+++ b/internal/task/doc.go
@@ -1,2 +1,2 @@
-// Package task names a piece of work that runs on one worker at a time.
+// Package task identifies tasks, which run on one worker at a time, and their runs.
 package task
--- a/internal/task/state.go
+++ b/internal/task/state.go
@@ -2,7 +2,7 @@
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// State is where a run of a task is on its worker.
+// State is the state of a run on its worker.
 type State int
 
 // The states of a run.
@@ -17,10 +17,10 @@
 	Refused                    // refused
 )
 
-// IsFinal reports whether the run has ended and will not go on.
+// IsFinal reports whether the run has ended.
 func (s State) IsFinal() bool { return s >= Checkpointed }
 
-// ParseState returns the state with the given name, or Absent for a name that is not on the list.
+// ParseState returns the state with the given name, or Absent for an unknown name.
 func ParseState(name string) State {
 	for s := Absent; s <= Refused; s++ {
 		if s.String() == name {
--- a/internal/worker/doc.go
+++ b/internal/worker/doc.go
@@ -1,3 +1,3 @@
-// Package worker is the port to the worker of a VM, which runs tasks under
-// leases, and the adapter that speaks to it over HTTP.
+// Package worker defines the interface to the worker of a VM, which runs
+// tasks under leases, and its HTTP client.
 package worker
--- a/internal/worker/http.go
+++ b/internal/worker/http.go
@@ -14,13 +14,13 @@
 
 const callTimeout = 2 * time.Second
 
-// HTTP is the adapter to the worker's interface over HTTP.
+// HTTP is a Worker that calls the worker's HTTP interface.
 type HTTP struct {
 	client  *fasthttp.HostClient
 	address string
 }
 
-// NewHTTP returns the adapter to the worker at an address of the form host:port.
+// NewHTTP returns a client for the worker at an address of the form host:port.
 func NewHTTP(address string) *HTTP {
 	return &HTTP{address: address, client: httpclient.New(address, callTimeout)}
 }
@@ -36,12 +36,12 @@
 
 // List implements Worker.
 func (h *HTTP) List(ctx context.Context) ([]Status, error) {
-	var wires []StatusWire
-	if err := h.do(ctx, "list", nil, &wires); err != nil {
+	var encoded []StatusWire
+	if err := h.do(ctx, "list", nil, &encoded); err != nil {
 		return nil, err
 	}
-	statuses := make([]Status, 0, len(wires))
-	for _, w := range wires {
+	statuses := make([]Status, 0, len(encoded))
+	for _, w := range encoded {
 		statuses = append(statuses, w.Decode())
 	}
 	return statuses, nil
@@ -79,12 +79,12 @@
 
 // Usage implements Worker.
 func (h *HTTP) Usage(ctx context.Context) ([]Usage, error) {
-	var wires []UsageWire
-	if err := h.do(ctx, "usage", nil, &wires); err != nil {
+	var encoded []UsageWire
+	if err := h.do(ctx, "usage", nil, &encoded); err != nil {
 		return nil, err
 	}
-	usages := make([]Usage, 0, len(wires))
-	for _, w := range wires {
+	usages := make([]Usage, 0, len(encoded))
+	for _, w := range encoded {
 		usages = append(usages, NewUsage(w.Run.Decode(), w.Used.Decode()))
 	}
 	return usages, nil
@@ -118,7 +118,7 @@
 	switch status := response.StatusCode(); status {
 	case fasthttp.StatusOK:
 	case fasthttp.StatusNotFound:
-		return fault.New(fault.NotFound, "the worker does not know the run to %s", verb)
+		return fault.New(fault.NotFound, "the run to %s is unknown to the worker", verb)
 	case fasthttp.StatusConflict:
 		return fault.New(fault.DoesNotFit, "the worker refuses to %s: %s", verb, response.Body())
 	default:
--- a/internal/worker/wire.go
+++ b/internal/worker/wire.go
@@ -5,14 +5,14 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// SizeWire is a resource vector as the worker's interface writes it.
+// SizeWire is the wire form of a resource vector in the worker's interface.
 type SizeWire struct {
 	Processors   int64 `json:"milli_processors"`
 	Memory       int64 `json:"mebibytes"`
 	Accelerators int64 `json:"accelerators"`
 }
 
-// DescriptionWire is a description as the worker's interface writes it.
+// DescriptionWire is the wire form of a Description.
 type DescriptionWire struct {
 	Instance    string   `json:"instance"`
 	Capacity    SizeWire `json:"capacity"`
@@ -20,14 +20,14 @@
 	Connections int      `json:"connections"`
 }
 
-// RunWire is a run as the worker's interface writes it.
+// RunWire is the wire form of a run.
 type RunWire struct {
 	Job         string `json:"job"`
 	Index       int    `json:"index"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// StatusWire is a status as the worker's interface writes it.
+// StatusWire is the wire form of a Status.
 type StatusWire struct {
 	Run        RunWire  `json:"run"`
 	Workload   string   `json:"workload"`
@@ -38,7 +38,7 @@
 	Progress   float64  `json:"progress"`
 }
 
-// OrderWire is an order as the worker's interface reads it.
+// OrderWire is the wire form of an Order.
 type OrderWire struct {
 	Run         RunWire  `json:"run"`
 	Workload    string   `json:"workload"`
@@ -48,54 +48,54 @@
 	LeaseMillis int64    `json:"lease_ms"`
 }
 
-// RenewWire asks to prolong the leases of runs.
+// RenewWire is the request to extend the leases of runs.
 type RenewWire struct {
 	Runs        []RunWire `json:"runs"`
 	LeaseMillis int64     `json:"lease_ms"`
 }
 
-// ThrottleWire asks to limit a run to a share of its processors.
+// ThrottleWire is the request to limit a run to a percentage of its processors.
 type ThrottleWire struct {
 	Run     RunWire `json:"run"`
 	Percent int     `json:"percent"`
 }
 
-// UsageWire is the measured use of a run.
+// UsageWire is the wire form of a Usage.
 type UsageWire struct {
 	Run  RunWire  `json:"run"`
 	Used SizeWire `json:"used"`
 }
 
-// EncodeSize returns the vector as it is written.
+// EncodeSize returns the wire form of the vector.
 func EncodeSize(v resource.Vector) SizeWire {
 	return SizeWire{Processors: v.Processors(), Memory: v.Memory(), Accelerators: v.Accelerators()}
 }
 
-// Decode returns the vector that was written.
+// Decode returns the vector of the wire form.
 func (w SizeWire) Decode() resource.Vector {
 	return resource.New(w.Processors, w.Memory, w.Accelerators)
 }
 
-// EncodeRun returns the run as it is written.
+// EncodeRun returns the wire form of the run.
 func EncodeRun(r task.Run) RunWire {
 	return RunWire{Job: r.ID().Job(), Index: r.ID().Index(), Incarnation: uint64(r.Incarnation())}
 }
 
-// Decode returns the run that was written.
+// Decode returns the run of the wire form.
 func (w RunWire) Decode() task.Run {
 	return task.NewRun(task.NewID(w.Job, w.Index), task.Incarnation(w.Incarnation))
 }
 
-// EncodeRuns returns the runs as they are written.
+// EncodeRuns returns the wire forms of the runs.
 func EncodeRuns(runs []task.Run) []RunWire {
-	wires := make([]RunWire, 0, len(runs))
+	encoded := make([]RunWire, 0, len(runs))
 	for _, r := range runs {
-		wires = append(wires, EncodeRun(r))
+		encoded = append(encoded, EncodeRun(r))
 	}
-	return wires
+	return encoded
 }
 
-// Decode returns the status that was written.
+// Decode returns the status of the wire form.
 func (w StatusWire) Decode() Status {
 	status := NewStatus(w.Run.Decode(), w.Workload, task.ParseState(w.State), w.Size.Decode())
 	return status.WithCheckpoint(w.Checkpoint).WithAddress(w.Address).WithProgress(w.Progress)
