--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -71,7 +71,7 @@
 }
 
 // Tasks returns the tasks of a step in one iteration; the caller must not change them.
-func (j *Job) Tasks(iteration, step int) []Task { return j.tasks[iteration][step] }
+func (j *Job) Tasks(time, step int) []Task { return j.tasks[time][step] }
 
 // State returns the state of the job as callers see it.
 func (j *Job) State() State {
--- a/internal/job/spec_test.go
+++ b/internal/job/spec_test.go
@@ -36,7 +36,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.IntRange(0, 1000)
 		id := TaskID{
-			Job: ID(rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job")), Iteration: number.Draw(t, "iteration"),
+			Job: ID(rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job")), Iteration: number.Draw(t, "time"),
 			Step: number.Draw(t, "step"), Index: number.Draw(t, "index"),
 		}
 		read, ok := ParseTaskID(id.String())
