--- a/internal/leader/agents.go
+++ b/internal/leader/agents.go
@@ -17,30 +17,30 @@
 	"github.com/saffronpulley/saffronpulley/internal/vmlist"
 )
 
-// agentView is what the lead knows of one agent.
+// agentView is the leader's state of one agent.
 type agentView struct {
-	peer     *rpc.Peer
-	boot     string
-	profile  control.Profile
-	capacity resource.Vector
-	heard    time.Time
-	applied  control.Position
-	leaving  bool
-	stopping bool
-	pressed  bool
-	evict    bool
-	statuses map[task.Run]status
-	usage    map[task.Run]resource.Vector
-	latency  map[string]control.Latency
-	health   probation.Record
-	desired  []control.DesiredRun
-	revision uint64
-	// base is what the agent is known to have been told.
+	peer              *rpc.Peer
+	boot              string
+	profile           control.Profile
+	capacity          resource.Vector
+	lastHeartbeat     time.Time
+	applied           control.Position
+	leaving           bool
+	stopping          bool
+	batchBlocked      bool
+	evictionRequested bool
+	statuses          map[task.Run]status
+	usage             map[task.Run]resource.Vector
+	latency           map[string]control.Latency
+	probation         probation.Record
+	desired           []control.DesiredRun
+	revision          uint64
+	// base is the desired runs that the agent is known to have received, at baseRevision.
 	base         []control.DesiredRun
 	baseRevision uint64
 }
 
-// status is what an agent says of a run that has not ended.
+// status is an agent's report of a run that has not ended.
 type status struct {
 	workload string
 	state    task.State
@@ -49,59 +49,59 @@
 
 var workerProbation = probation.Policy{Failures: 3, Wait: 10 * time.Second}
 
-const missedBeats = 4
+const maxMissedHeartbeats = 4
 
-// isHeard reports whether the agent was heard of lately.
-func (a *agentView) isHeard(now time.Time, heartbeat time.Duration) bool {
-	return now.Sub(a.heard) < missedBeats*heartbeat
+// isReachable reports whether the agent's last heartbeat is recent.
+func (a *agentView) isReachable(now time.Time, heartbeat time.Duration) bool {
+	return now.Sub(a.lastHeartbeat) < maxMissedHeartbeats*heartbeat
 }
 
-// closed says why the worker takes no new task; l.mu is held.
-func (l *Leader) closed(instance string, a *agentView, now time.Time) placement.Reason {
+// closedReason returns why the worker accepts no new tasks, or placement.Chosen if it does; l.mu is held.
+func (l *Leader) closedReason(instance string, agent *agentView, now time.Time) placement.Reason {
 	switch {
-	case a.stopping || l.listed[instance] != vmlist.Live || !a.isHeard(now, l.Timing.Heartbeat):
+	case agent.stopping || l.vmStates[instance] != vmlist.Live || !agent.isReachable(now, l.Timing.Heartbeat):
 		return placement.WorkerLeaving
-	case !workerProbation.Allows(&a.health, now):
+	case !workerProbation.Allows(&agent.probation, now):
 		return placement.WorkerProbation
 	default:
 		return placement.Chosen
 	}
 }
 
-// state is closed as a word for operators; l.mu is held.
-func (l *Leader) state(instance string, a *agentView, now time.Time) string {
+// stateName returns the state of the worker as shown to operators; l.mu is held.
+func (l *Leader) stateName(instance string, agent *agentView, now time.Time) string {
 	switch {
-	case l.listed[instance] == vmlist.Gone:
+	case l.vmStates[instance] == vmlist.Gone:
 		return "gone"
-	case !a.isHeard(now, l.Timing.Heartbeat):
+	case !agent.isReachable(now, l.Timing.Heartbeat):
 		return "silent"
-	case a.stopping || l.isLeaving(instance):
+	case agent.stopping || l.isLeaving(instance):
 		return "leaving"
-	case a.health.OnProbation():
+	case agent.probation.OnProbation():
 		return "probation"
-	case a.pressed:
+	case agent.batchBlocked:
 		return "pressed"
 	default:
 		return "live"
 	}
 }
 
-// isLeaving reports whether the list says that a VM is being taken away; l.mu is held.
-func (l *Leader) isLeaving(instance string) bool { return l.listed[instance] == vmlist.Leaving }
+// isLeaving reports whether a VM is being removed according to the list; l.mu is held.
+func (l *Leader) isLeaving(instance string) bool { return l.vmStates[instance] == vmlist.Leaving }
 
-// workers returns the workers of the cell as a plan sees them, ordered by instance; l.mu is held.
+// workers returns the workers of the cell as input for a plan, ordered by instance; l.mu is held.
 func (l *Leader) workers(now time.Time) []scheduling.Worker {
 	workers := make([]scheduling.Worker, 0, len(l.agents))
 	for instance, a := range l.agents {
 		bands := make(map[string]interference.Band, len(a.latency))
 		worst := 0.0
-		for service, y := range a.latency {
-			bands[service] = interference.BandOf(y.Load)
-			worst = max(worst, y.Ratio)
+		for service, latency := range a.latency {
+			bands[service] = interference.BandOf(latency.Load)
+			worst = max(worst, latency.Ratio)
 		}
-		bears := remedy.DefaultPolicy().Tolerance(worst)
+		tolerance := remedy.DefaultPolicy().Tolerance(worst)
 		w := scheduling.NewWorker(instance, a.capacity, a.profile.Rack)
-		workers = append(workers, w.WithClosed(l.closed(instance, a, now)).WithBatchBlocked(a.pressed).WithTolerance(bears).WithBands(bands))
+		workers = append(workers, w.WithClosed(l.closedReason(instance, a, now)).WithBatchBlocked(a.batchBlocked).WithTolerance(tolerance).WithBands(bands))
 	}
 	slices.SortFunc(workers, func(a, b scheduling.Worker) int {
 		if a.Instance() < b.Instance() {
@@ -112,45 +112,45 @@
 	return workers
 }
 
-// snapshot is what a plan sees at a moment; l.mu is held.
+// snapshot returns the input for a plan; l.mu is held.
 func (l *Leader) snapshot(now time.Time) scheduling.Snapshot {
 	return scheduling.NewSnapshot(now, l.table, l.workers(now), l.share).
 		WithEstimates(l.estimates).WithModel(l.model).WithNotBefore(l.notBefore)
 }
 
-// desiredRuns is all that an instance is to run by the document; l.mu is held.
+// desiredRuns returns all runs that the document places on an instance; l.mu is held.
 //
-// A replica that moves is stopped by being left out, after its requests.
+// It omits a replica that moves elsewhere, so that the agent stops it after finishing its requests.
 func (l *Leader) desiredRuns(d *cell.Document, instance string) []control.DesiredRun {
 	placed := d.PlacedOn(instance)
 	runs := make([]control.DesiredRun, 0, len(placed))
 	for _, t := range placed {
-		if _, moves := l.evicting[t.Run()]; !moves || !t.IsService() {
+		if _, moving := l.evicting[t.Run()]; !moving || !t.IsService() {
 			runs = append(runs, l.desiredRun(t))
 		}
 	}
 	return runs
 }
 
-// desiredRun is a task with what its agent needs to know of the workload; l.mu is held.
+// desiredRun returns the run of a task with the workload settings that its agent needs; l.mu is held.
 func (l *Leader) desiredRun(t cell.Task) control.DesiredRun {
 	run := control.DesiredRun{
 		Run: control.EncodeRun(t.Run()), Workload: t.Workload(), Service: t.IsService(),
 		Size: control.EncodeSize(t.Size()), Checkpoint: t.Checkpoint(),
 	}
 	_, run.Evict = l.evicting[t.Run()]
-	r, ok := l.table.Row(t.Workload())
+	row, ok := l.table.Row(t.Workload())
 	switch {
 	case !ok:
 	case t.IsService():
-		run.Concurrency, run.Queue, run.TargetMillis = r.Concurrency(), r.Queue(), r.Target().Milliseconds()
+		run.Concurrency, run.Queue, run.TargetMillis = row.Concurrency(), row.Queue(), row.Target().Milliseconds()
 	default:
-		run.Weight = r.Weight()
+		run.Weight = row.Weight()
 	}
 	return run
 }
 
-// publish works out anew what each agent is to run, and has the changes sent.
+// publish recomputes the desired runs of each agent and queues the changes for sending.
 func (l *Leader) publish() {
 	d, _, loaded := l.document.Current()
 	if !loaded {
@@ -175,8 +175,8 @@
 
 func (l *Leader) enqueuePush(instance string) {
 	select {
-	case l.pushes <- instance:
+	case l.pushQueue <- instance:
 	default:
-		// The next heartbeat brings what a full queue leaves out.
+		// If the queue is full, the answer to the next heartbeat carries the change.
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	burstBytes  = 256 << 10
-	longestWait = 2 * time.Second
-	urgentGap   = 20 * time.Millisecond
-	idlePlan    = time.Second
-	storeRetry  = time.Second
+	burstBytes        = 256 << 10
+	maxCommitDelay    = 2 * time.Second
+	urgentCommitDelay = 20 * time.Millisecond
+	idlePlanInterval  = time.Second
+	storeRetryDelay   = time.Second
 )
 
-// commitLoop plans and commits, one swap for all that has gathered, until the lead is stale.
+// commitLoop schedules and commits all collected changes with one swap at a time, until the leader is stale.
 func (l *Leader) commitLoop(ctx context.Context) error {
-	pace := rate.NewLimiter(rate.Limit(l.Timing.CommitRate), burstBytes)
-	idle := time.NewTicker(idlePlan)
+	limiter := rate.NewLimiter(rate.Limit(l.Timing.CommitRate), burstBytes)
+	idle := time.NewTicker(idlePlanInterval)
 	defer idle.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.wake:
+		case <-l.changed:
 		case <-idle.C:
 			l.markDirty()
 		}
-		store.Pause(ctx, l.gather(pace))
+		store.Pause(ctx, l.commitDelay(limiter))
 		if err := l.CommitOnce(ctx); err != nil {
 			return err
 		}
@@ -48,19 +48,19 @@
 	l.mu.Unlock()
 }
 
-// gather is how long to wait for more changes: longer when the document is large and the bytes of late commits many.
-func (l *Leader) gather(pace *rate.Limiter) time.Duration {
+// commitDelay returns how long to collect changes: longer for a large document and after commits of many bytes.
+func (l *Leader) commitDelay(limiter *rate.Limiter) time.Duration {
 	l.mu.Lock()
 	urgent := l.urgent
 	l.mu.Unlock()
-	reserved := pace.ReserveN(time.Now(), min(l.document.Size(), burstBytes))
+	reservation := limiter.ReserveN(time.Now(), min(l.document.Size(), burstBytes))
 	if urgent {
-		return urgentGap
+		return urgentCommitDelay
 	}
-	return min(max(reserved.Delay(), l.Timing.CommitWindow), longestWait)
+	return min(max(reservation.Delay(), l.Timing.CommitWindow), maxCommitDelay)
 }
 
-// CommitOnce plans, and commits what has gathered by one swap; an error says that the lead is stale.
+// CommitOnce schedules, and commits all collected changes with one swap; it returns an error if the leader is stale.
 func (l *Leader) CommitOnce(ctx context.Context) error {
 	operations, ok := l.takePending()
 	if !ok {
@@ -69,24 +69,24 @@
 	var plan *scheduling.Plan
 	_, before, _ := l.document.Current()
 	committed, err := l.document.Update(ctx, func(d *cell.Document) (*cell.Document, bool, error) {
-		next, made, changed, err := l.change(d, operations)
-		plan = made
+		next, newPlan, changed, err := l.change(d, operations)
+		plan = newPlan
 		return next, changed, err
 	})
-	l.noteStore(err)
+	l.recordStoreResult(err)
 	if err != nil {
-		return l.commitFailed(ctx, operations, err)
+		return l.handleCommitError(ctx, operations, err)
 	}
 	if _, after, _ := l.document.Current(); after != before {
 		l.mu.Lock()
 		l.commits++
 		l.mu.Unlock()
 	}
-	l.committed(committed, operations, plan)
+	l.finishCommit(committed, operations, plan)
 	return nil
 }
 
-// takePending takes the gathered operations, if there is anything to do.
+// takePending removes and returns the collected operations, and reports whether there is anything to commit.
 func (l *Leader) takePending() ([]*operation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,13 +98,13 @@
 	return operations, true
 }
 
-// change applies the operations and a plan to a copy of the document.
+// change applies the operations and a new plan to a copy of the document.
 func (l *Leader) change(d *cell.Document, operations []*operation) (*cell.Document, *scheduling.Plan, bool, error) {
 	l.mu.Lock()
 	epoch := l.epoch
 	l.mu.Unlock()
 	if d.Epoch() != epoch {
-		return d, nil, false, fault.New(fault.Stale, "another lead took over %s as epoch %d", l.Cell, d.Epoch())
+		return d, nil, false, fault.New(fault.Stale, "another leader took over %s as epoch %d", l.Cell, d.Epoch())
 	}
 	next := d.Clone()
 	changed := false
@@ -121,7 +121,7 @@
 	return next, plan, changed || plan.Changed(), nil
 }
 
-func (l *Leader) commitFailed(ctx context.Context, operations []*operation, err error) error {
+func (l *Leader) handleCommitError(ctx context.Context, operations []*operation, err error) error {
 	if fault.Is(err, fault.Stale) {
 		for _, o := range operations {
 			o.result <- err
@@ -133,32 +133,32 @@
 		o.result <- err
 	}
 	l.markDirty()
-	store.Pause(ctx, jitter(storeRetry))
+	store.Pause(ctx, jitter(storeRetryDelay))
 	return nil
 }
 
-// committed answers the operations of a commit and tells the agents.
-func (l *Leader) committed(d *cell.Document, operations []*operation, plan *scheduling.Plan) {
+// finishCommit completes the operations of a commit and publishes the result to agents and entries.
+func (l *Leader) finishCommit(d *cell.Document, operations []*operation, plan *scheduling.Plan) {
 	for _, o := range operations {
 		if o.changed {
-			o.after()
+			o.onCommit()
 		}
 		o.result <- o.err
 	}
 	if plan != nil {
-		l.planned(d, plan)
+		l.applyPlan(d, plan)
 	}
 	l.publish()
 	l.publishSummary()
 }
 
-func (l *Leader) planned(d *cell.Document, plan *scheduling.Plan) {
+func (l *Leader) applyPlan(d *cell.Document, plan *scheduling.Plan) {
 	l.mu.Lock()
 	l.waiting = plan.Waiting()
 	for _, run := range plan.Evict() {
 		l.evicting[run] = struct{}{}
 	}
-	l.evictForPressure(d)
+	l.selectEvictions(d)
 	l.startTrials(d, plan)
 	l.mu.Unlock()
 	for _, run := range plan.Assigned() {
@@ -167,18 +167,18 @@
 	}
 }
 
-// startTrials takes note of tasks placed on workers that are on probation; l.mu is held.
+// startTrials marks trials on workers on probation that were assigned a task; l.mu is held.
 func (l *Leader) startTrials(d *cell.Document, plan *scheduling.Plan) {
 	for _, run := range plan.Assigned() {
 		t, _ := d.Task(run.ID())
 		if a, ok := l.agents[t.Instance()]; ok {
-			workerProbation.StartTrial(&a.health)
+			workerProbation.StartTrial(&a.probation)
 		}
 	}
 }
 
-// evictForPressure picks one task on each worker that asks to be relieved, and all on workers that leave; l.mu is held.
-func (l *Leader) evictForPressure(d *cell.Document) {
+// selectEvictions selects one task on each worker that requested an eviction, and all tasks on leaving workers; l.mu is held.
+func (l *Leader) selectEvictions(d *cell.Document) {
 	for run := range l.evicting {
 		if t, ok := d.Task(run.ID()); !ok || t.Run() != run || !t.IsPlaced() {
 			delete(l.evicting, run)
@@ -188,9 +188,9 @@
 		switch {
 		case l.isLeaving(instance):
 			l.evictAll(d, instance)
-		case a.evict:
+		case a.evictionRequested:
 			l.evictOne(d, instance)
-			a.evict = false
+			a.evictionRequested = false
 		}
 	}
 }
@@ -201,28 +201,28 @@
 	}
 }
 
-// evictOne picks the evictable task of least weight, of those the one that was evicted least.
+// evictOne selects the evictable task with the lowest weight, and of equal weights the one with the fewest evictions.
 func (l *Leader) evictOne(d *cell.Document, instance string) {
 	best, found := cell.Task{}, false
 	for _, t := range d.PlacedOn(instance) {
 		if _, ok := l.evicting[t.Run()]; ok {
 			return
 		}
-		if scheduling.Evictable(t, l.table) && (!found || l.goesBefore(t, best)) {
+		if scheduling.Evictable(t, l.table) && (!found || l.isEvictedBefore(t, best)) {
 			best, found = t, true
 		}
 	}
 	if found {
 		l.evicting[best.Run()] = struct{}{}
-		l.Recorder.Record(timeline.TaskEvicting, subjectOf(best.Run(), instance), "a service there is over its target")
+		l.Recorder.Record(timeline.TaskEvicting, subjectOf(best.Run(), instance), "a service on the worker exceeds its latency target")
 	}
 }
 
-func (l *Leader) goesBefore(a, b cell.Task) bool {
-	ra, _ := l.table.Row(a.Workload())
-	rb, _ := l.table.Row(b.Workload())
-	if ra.Weight() != rb.Weight() {
-		return ra.Weight() < rb.Weight()
+func (l *Leader) isEvictedBefore(a, b cell.Task) bool {
+	rowA, _ := l.table.Row(a.Workload())
+	rowB, _ := l.table.Row(b.Workload())
+	if rowA.Weight() != rowB.Weight() {
+		return rowA.Weight() < rowB.Weight()
 	}
 	return a.Evictions() < b.Evictions()
 }
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -1,7 +1,7 @@
-// Package leader is the part of an agent that holds its cell's lease: it hears
-// the cell's agents, plans, commits the cell's document and tells each agent
-// what it is to run.
+// Package leader implements the leader of a cell, the agent that holds the
+// cell's lease: it receives the heartbeats of the cell's agents, schedules
+// tasks, commits the cell's document and sends each agent its desired runs.
 //
-// Locks are taken in this order: Lead.mu, then the document's own locks. No
-// call leaves the process while Lead.mu is held.
+// Locks are taken in this order: Leader.mu, then the document's own locks. No
+// remote call is made while Leader.mu is held.
 package leader
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -16,30 +16,30 @@
 func (l *Leader) Heartbeat(_ context.Context, p *rpc.Peer, beat control.Beat) (control.BeatAnswer, error) {
 	d, _, loaded := l.document.Current()
 	if !loaded {
-		return control.BeatAnswer{}, fault.New(fault.Unavailable, "the lead is not ready")
+		return control.BeatAnswer{}, fault.New(fault.Unavailable, "the leader is not ready")
 	}
 	now := time.Now()
 	l.mu.Lock()
-	a, known := l.hear(p, &beat, now)
+	agent, known := l.recordHeartbeat(p, &beat, now)
 	if !known {
 		l.mu.Unlock()
 		return control.BeatAnswer{Known: false}, nil
 	}
-	answer, ended := control.BeatAnswer{Known: true, Epoch: l.epoch, Lapsed: !l.holds(now)}, []*operation(nil)
-	// A lead whose lease has lapsed may know less than the next, so it decides nothing.
-	if l.holds(now) {
-		answer.Acked, ended = l.readReports(d, a, &beat)
-		if a.revision > 0 && a.applied != l.position(a) {
-			answer.Desired = l.desired(a)
+	answer, operations := control.BeatAnswer{Known: true, Epoch: l.epoch, Lapsed: !l.holdsLease(now)}, []*operation(nil)
+	// A leader whose lease has expired may have older state than its successor, so it decides nothing.
+	if l.holdsLease(now) {
+		answer.Acked, operations = l.splitReports(d, agent, &beat)
+		if agent.revision > 0 && agent.applied != l.position(agent) {
+			answer.Desired = l.desired(agent)
 		}
 	}
-	isNew := a.revision == 0
+	isNew := agent.revision == 0
 	l.mu.Unlock()
 	if beat.Profile != nil || len(beat.Statuses) > 0 || len(beat.Gone) > 0 {
 		l.publishSummary()
 	}
-	for _, e := range ended {
-		l.enqueue(e)
+	for _, o := range operations {
+		l.enqueue(o)
 	}
 	if isNew {
 		l.publish()
@@ -47,30 +47,30 @@
 	return answer, nil
 }
 
-// hear takes note of what a beat says; an agent that the lead does not know must give its profile. l.mu is held.
-func (l *Leader) hear(p *rpc.Peer, beat *control.Beat, now time.Time) (*agentView, bool) {
-	a, ok := l.agents[beat.Instance]
-	if !ok || a.boot != beat.Boot {
+// recordHeartbeat applies a heartbeat to the view of its agent, and reports false if the agent is unknown and sent no profile. l.mu is held.
+func (l *Leader) recordHeartbeat(p *rpc.Peer, beat *control.Beat, now time.Time) (*agentView, bool) {
+	agent, ok := l.agents[beat.Instance]
+	if !ok || agent.boot != beat.Boot {
 		if beat.Profile == nil {
 			return nil, false
 		}
-		fresh := newAgentView(beat)
+		created := newAgentView(beat)
 		if ok {
-			fresh.health = a.health
+			created.probation = agent.probation
 		}
-		l.agents[beat.Instance], a = fresh, fresh
-	}
-	changed := a.stopping != beat.Stopping || a.pressed != beat.Pressed || !ok
-	a.peer, a.heard, a.applied = p, now, beat.Applied
-	a.stopping, a.pressed, a.evict = beat.Stopping, beat.Pressed, beat.Evict
-	changed = a.takeStatuses(beat) || changed
-	l.noteBase(a, beat.Have)
-	l.learn(a, beat, now)
+		l.agents[beat.Instance], agent = created, created
+	}
+	changed := agent.stopping != beat.Stopping || agent.batchBlocked != beat.Pressed || !ok
+	agent.peer, agent.lastHeartbeat, agent.applied = p, now, beat.Applied
+	agent.stopping, agent.batchBlocked, agent.evictionRequested = beat.Stopping, beat.Pressed, beat.Evict
+	changed = agent.updateStatuses(beat) || changed
+	l.checkBase(agent, beat.Have)
+	l.recordMeasurements(agent, beat, now)
 	if changed || beat.Evict {
 		l.dirty = true
-		l.signal()
+		l.notify()
 	}
-	return a, true
+	return agent, true
 }
 
 func newAgentView(beat *control.Beat) *agentView {
@@ -82,28 +82,28 @@
 	}
 }
 
-// noteBase compares what the agent was told with what the lead believes that it was told; l.mu is held.
-func (l *Leader) noteBase(a *agentView, have control.Position) {
-	switch have {
-	case l.position(a):
-		a.setBase()
-	case control.Position{Epoch: l.epoch, Revision: a.baseRevision}:
+// checkBase drops the recorded base of an agent that reports another position, so that all its runs are sent again; l.mu is held.
+func (l *Leader) checkBase(agent *agentView, reported control.Position) {
+	switch reported {
+	case l.position(agent):
+		agent.setBase()
+	case control.Position{Epoch: l.epoch, Revision: agent.baseRevision}:
 	default:
-		a.base, a.baseRevision = nil, 0
+		agent.base, agent.baseRevision = nil, 0
 	}
 }
 
-// takeStatuses takes over the statuses that changed, or all of them with a first beat, and reports whether any did.
-func (a *agentView) takeStatuses(beat *control.Beat) bool {
+// updateStatuses applies the changed statuses of a heartbeat, or all of them if it has a profile, and reports whether any changed.
+func (a *agentView) updateStatuses(beat *control.Beat) bool {
 	before := a.statuses
 	if beat.Profile != nil {
 		a.statuses = make(map[task.Run]status, len(beat.Statuses))
 	}
 	changed := len(beat.Gone) > 0 || (beat.Profile != nil && len(before) != len(beat.Statuses))
 	for _, s := range beat.Statuses {
-		now := status{workload: s.Workload, state: task.ParseState(s.State), serves: s.Serves}
-		changed = changed || before[s.Run.Decode()] != now
-		a.statuses[s.Run.Decode()] = now
+		updated := status{workload: s.Workload, state: task.ParseState(s.State), serves: s.Serves}
+		changed = changed || before[s.Run.Decode()] != updated
+		a.statuses[s.Run.Decode()] = updated
 	}
 	for _, run := range beat.Gone {
 		delete(a.statuses, run.Decode())
@@ -111,19 +111,19 @@
 	return changed
 }
 
-// readReports sorts reports into those the document has taken in and those still to commit. l.mu is held.
-func (l *Leader) readReports(d *cell.Document, a *agentView, beat *control.Beat) ([]control.Run, []*operation) {
-	var acked []control.Run
-	var ended []*operation
+// splitReports separates reports that need no commit, which it acknowledges, from those still to commit. l.mu is held.
+func (l *Leader) splitReports(d *cell.Document, agent *agentView, beat *control.Beat) ([]control.Run, []*operation) {
+	var acknowledged []control.Run
+	var operations []*operation
 	for _, r := range beat.Reports {
 		run := r.Run.Decode()
 		if !isCurrent(d, run, beat.Instance) {
-			acked = append(acked, r.Run)
+			acknowledged = append(acknowledged, r.Run)
 			continue
 		}
-		ended = append(ended, l.reportOperation(r))
+		operations = append(operations, l.reportOperation(r))
 	}
-	return acked, append(ended, l.missingRuns(d, a, beat)...)
+	return acknowledged, append(operations, l.missingRuns(d, agent, beat)...)
 }
 
 func isCurrent(d *cell.Document, run task.Run, instance string) bool {
@@ -131,22 +131,22 @@
 	return ok && t.Incarnation() == run.Incarnation() && t.Instance() == instance
 }
 
-// missingRuns finds runs that the document places on the agent, that it is no longer to run, and that it does not have.
+// missingRuns returns operations that end runs which the document places on the agent but which are neither desired nor reported by it.
 //
-// The agent has taken the present position, after which it starts none of them any more.
-func (l *Leader) missingRuns(d *cell.Document, a *agentView, beat *control.Beat) []*operation {
-	if a.revision == 0 || beat.Applied != l.position(a) {
+// It returns none until the agent has applied the current position, after which the agent starts no such run.
+func (l *Leader) missingRuns(d *cell.Document, agent *agentView, beat *control.Beat) []*operation {
+	if agent.revision == 0 || beat.Applied != l.position(agent) {
 		return nil
 	}
-	wanted := make(map[task.Run]struct{}, len(a.desired))
-	for _, r := range a.desired {
+	wanted := make(map[task.Run]struct{}, len(agent.desired))
+	for _, r := range agent.desired {
 		wanted[r.Run.Decode()] = struct{}{}
 	}
 	var missing []*operation
 	for _, t := range d.Tasks() {
 		_, isWanted := wanted[t.Run()]
-		_, hasIt := a.statuses[t.Run()]
-		if t.Instance() != beat.Instance || isWanted || hasIt || isReported(beat, t.Run()) {
+		_, isPresent := agent.statuses[t.Run()]
+		if t.Instance() != beat.Instance || isWanted || isPresent || isReported(beat, t.Run()) {
 			continue
 		}
 		missing = append(missing, l.reportOperation(control.Report{Run: control.EncodeRun(t.Run()), State: task.Stopped.String()}))
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	settleTime = 5 * time.Second
-	storeAgain = 5 * time.Second
-	maxOpen    = 2000
+	heartbeatGrace    = 5 * time.Second
+	storeRetryAfter   = 5 * time.Second
+	maxUnfinishedJobs = 2000
 )
 
-// Submit accepts a job once it is committed.
+// Submit adds a job and returns it once it is committed.
 func (l *Leader) Submit(ctx context.Context, _ *rpc.Peer, s control.Submit) (control.Job, error) {
 	d, _, _ := l.document.Current()
 	if j, ok := d.Job(s.ID); ok {
@@ -36,7 +36,7 @@
 		return !known, nil
 	})
 	o.urgent = r.IsUrgent()
-	o.after = func() {
+	o.onCommit = func() {
 		l.Recorder.Record(timeline.JobAccepted, timeline.Subject{Task: s.ID}, "the job is committed")
 	}
 	if err := l.commit(ctx, o); err != nil {
@@ -50,39 +50,39 @@
 func (l *Leader) checkSubmit(d *cell.Document, s control.Submit) (table.Row, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.storeUp || !l.holds(time.Now()) {
-		return table.Row{}, fault.New(fault.Unavailable, "the store does not answer, so no job can be accepted").WithRetryAfter(storeAgain)
+	if !l.storeUp || !l.holdsLease(time.Now()) {
+		return table.Row{}, fault.New(fault.Unavailable, "the store is unreachable, so no job can be accepted").WithRetryAfter(storeRetryAfter)
 	}
 	r, ok := l.table.Row(s.Workload)
 	if !ok || r.Kind() != table.Batch {
 		return table.Row{}, fault.New(fault.NotFound, "the table has no batch workload %q", s.Workload)
 	}
-	if len(d.Jobs()) >= maxOpen {
-		return table.Row{}, fault.New(fault.Overloaded, "%s has %d open jobs, its limit", l.Cell, maxOpen).WithRetryAfter(storeAgain)
+	if len(d.Jobs()) >= maxUnfinishedJobs {
+		return table.Row{}, fault.New(fault.Overloaded, "%s has %d unfinished jobs, its limit", l.Cell, maxUnfinishedJobs).WithRetryAfter(storeRetryAfter)
 	}
 	if !scheduling.FitsEmptyWorker(r.Size(), l.workers(time.Now())) {
-		if time.Since(l.began) < settleTime {
-			return table.Row{}, fault.New(fault.Unavailable, "the lead has not heard its workers yet").WithRetryAfter(settleTime)
+		if time.Since(l.startedAt) < heartbeatGrace {
+			return table.Row{}, fault.New(fault.Unavailable, "the leader has not received the heartbeats of its workers yet").WithRetryAfter(heartbeatGrace)
 		}
 		return table.Row{}, fault.New(fault.Impossible, "no worker of %s has %s, even empty", l.Cell, r.Size())
 	}
 	return r, nil
 }
 
-// commit waits until an operation is committed; a wait that ends first leaves the outcome unknown.
+// commit enqueues an operation and waits for its commit; if the wait ends before, the outcome is unknown.
 func (l *Leader) commit(ctx context.Context, o *operation) error {
 	l.enqueue(o)
 	select {
 	case err := <-o.result:
 		return err
 	case <-ctx.Done():
-		return fault.New(fault.OutcomeUnknown, "the commit has not ended in time")
+		return fault.New(fault.OutcomeUnknown, "the commit did not complete in time")
 	case <-l.done:
-		return fault.New(fault.OutcomeUnknown, "the lead ended before the commit")
+		return fault.New(fault.OutcomeUnknown, "the leader ended before the commit")
 	}
 }
 
-// Job answers how far a job is.
+// Job returns the state of a job.
 func (l *Leader) Job(_ context.Context, _ *rpc.Peer, q control.JobQuery) (control.Job, error) {
 	d, _, _ := l.document.Current()
 	j, ok := d.Job(q.ID)
@@ -92,13 +92,13 @@
 	return l.jobWire(d, j), nil
 }
 
-// Cancel ends a job once that is committed; cancellations that come together share a commit.
+// Cancel cancels a job and returns once that is committed; concurrent cancellations share a commit.
 func (l *Leader) Cancel(ctx context.Context, p *rpc.Peer, q control.JobQuery) (control.Job, error) {
 	l.mu.Lock()
-	up := l.storeUp
+	storeUp := l.storeUp
 	l.mu.Unlock()
-	if !up {
-		return control.Job{}, fault.New(fault.Unavailable, "the store does not answer, so no job can be canceled").WithRetryAfter(storeAgain)
+	if !storeUp {
+		return control.Job{}, fault.New(fault.Unavailable, "the store is unreachable, so no job can be canceled").WithRetryAfter(storeRetryAfter)
 	}
 	o := newOperation(func(d *cell.Document) (bool, error) {
 		if err := d.Cancel(q.ID); err != nil {
@@ -106,7 +106,7 @@
 		}
 		return true, nil
 	})
-	o.after = func() {
+	o.onCommit = func() {
 		l.Recorder.Record(timeline.JobCanceled, timeline.Subject{Task: q.ID}, "the cancellation is committed")
 	}
 	if err := l.commit(ctx, o); err != nil {
@@ -128,8 +128,8 @@
 		ID: j.ID(), Workload: j.Workload(), State: j.State().String(), Tasks: j.Tasks(), Running: running,
 		Finished: j.Finished(), Failed: j.Failed(), Evictions: j.Evictions(), Millis: j.Submitted().UnixMilli(),
 	}
-	if why, ok := l.waiting[j.ID()]; ok && !j.State().IsFinal() {
-		wire.Waiting = why.String()
+	if reason, ok := l.waiting[j.ID()]; ok && !j.State().IsFinal() {
+		wire.Waiting = reason.String()
 	}
 	return wire
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -22,21 +22,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/vmlist"
 )
 
-// Timing holds the waits of a lead.
+// Timing holds the intervals and limits of a leader.
 type Timing struct {
-	// Lease is how long the cell's lease lasts unless it is prolonged.
+	// Lease is the duration of the cell's lease unless it is renewed.
 	Lease time.Duration
-	// Heartbeat is how often agents are expected to be heard.
+	// Heartbeat is the expected interval between the heartbeats of an agent.
 	Heartbeat time.Duration
-	// CommitWindow is how long changes that are not urgent are gathered for one commit.
+	// CommitWindow is how long changes that are not urgent are collected for one commit.
 	CommitWindow time.Duration
-	// List is how often the list of VMs is read.
+	// List is the interval between reads of the list of VMs.
 	List time.Duration
-	// CommitRate is how many bytes a second commits may write on average.
+	// CommitRate is the maximum average rate of commits in bytes per second.
 	CommitRate int
 }
 
-// Config is what a lead needs of its process.
+// Config is the configuration of a leader.
 type Config struct {
 	Cell     string
 	Agent    string
@@ -48,20 +48,20 @@
 	Recorder *timeline.Recorder
 }
 
-// Leader is the lead of one cell, from the lease to its loss.
+// Leader is the leader of one cell, from the acquisition of the cell's lease to its loss.
 type Leader struct {
 	Config
-	document *store.Document[*cell.Document]
-	rows     *store.Document[table.Table]
-	done     chan struct{}
-	wake     chan struct{}
-	pushes   chan string
+	document      *store.Document[*cell.Document]
+	tableDocument *store.Document[table.Table]
+	done          chan struct{}
+	changed       chan struct{}
+	pushQueue     chan string
 
 	mu          sync.Mutex
 	epoch       uint64
 	revision    uint64
 	leaseEnd    time.Time
-	began       time.Time
+	startedAt   time.Time
 	storeUp     bool
 	commits     int64
 	agents      map[string]*agentView
@@ -72,7 +72,7 @@
 	urgent      bool
 	table       table.Table
 	share       scheduling.Share
-	listed      map[string]vmlist.State
+	vmStates    map[string]vmlist.State
 	waiting     map[string]scheduling.Waiting
 	evicting    map[task.Run]struct{}
 	notBefore   map[task.ID]time.Time
@@ -80,75 +80,75 @@
 	model       *interference.Model
 }
 
-// DocumentKey returns the store's key of a cell's document.
+// DocumentKey returns the store key of a cell's document.
 func DocumentKey(cellName string) string { return "cell/" + cellName }
 
-// LeaseName returns the store's name of a cell's lease, whose holder is the address of the lead.
+// LeaseName returns the name of a cell's lease in the store; its holder is the address of the leader.
 func LeaseName(cellName string) string { return "lead/" + cellName }
 
-// TableKey is the store's key of the operators' table.
+// TableKey is the store key of the operators' table.
 const TableKey = "table"
 
-// TableCodec maps the operators' table to the bytes of its value.
+// TableCodec returns the codec of the operators' table.
 func TableCodec() store.Codec[table.Table] { return store.NewCodec(table.Encode, table.Decode) }
 
-// New returns a lead that has not begun.
+// New returns a leader that has not taken its cell over yet.
 func New(config Config) *Leader {
 	return &Leader{
-		Config:      config,
-		document:    store.NewDocument(config.Store, DocumentKey(config.Cell), store.NewCodec(cell.Encode, cell.Decode)),
-		rows:        store.NewDocument(config.Store, TableKey, TableCodec()),
-		done:        make(chan struct{}),
-		wake:        make(chan struct{}, 1),
-		pushes:      make(chan string, 256),
-		agents:      make(map[string]*agentView),
-		subscribers: make(map[*rpc.Peer]struct{}),
-		share:       scheduling.FullShare(),
-		listed:      make(map[string]vmlist.State),
-		evicting:    make(map[task.Run]struct{}),
-		notBefore:   make(map[task.ID]time.Time),
-		estimates:   make(map[string]*sizing.Estimate),
-		model:       interference.New(),
-		storeUp:     true,
+		Config:        config,
+		document:      store.NewDocument(config.Store, DocumentKey(config.Cell), store.NewCodec(cell.Encode, cell.Decode)),
+		tableDocument: store.NewDocument(config.Store, TableKey, TableCodec()),
+		done:          make(chan struct{}),
+		changed:       make(chan struct{}, 1),
+		pushQueue:     make(chan string, 256),
+		agents:        make(map[string]*agentView),
+		subscribers:   make(map[*rpc.Peer]struct{}),
+		share:         scheduling.FullShare(),
+		vmStates:      make(map[string]vmlist.State),
+		evicting:      make(map[task.Run]struct{}),
+		notBefore:     make(map[task.ID]time.Time),
+		estimates:     make(map[string]*sizing.Estimate),
+		model:         interference.New(),
+		storeUp:       true,
 	}
 }
 
-// Done returns the channel that is closed when the lead has ended.
+// Done returns a channel that is closed when Run has ended.
 func (l *Leader) Done() <-chan struct{} { return l.done }
 
-// Ready reports whether the lead has taken the cell over, before which it has no document to answer from.
+// Ready reports whether the leader has taken the cell over; before that it has no document to answer from.
 func (l *Leader) Ready() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.epoch > 0
 }
 
-// Run holds the cell from a lease just acquired until the lease is another's or ctx ends.
-func (l *Leader) Run(ctx context.Context, lease store.Lease, asked time.Time) error {
+// Run leads the cell with a newly acquired lease until another process holds the lease or ctx ends.
+func (l *Leader) Run(ctx context.Context, lease store.Lease, requestedAt time.Time) error {
 	defer close(l.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if err := l.Begin(ctx, lease, asked); err != nil {
+	if err := l.Begin(ctx, lease, requestedAt); err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return l.keepLease(ctx) })
+	group.Go(func() error { return l.renewLease(ctx) })
 	group.Go(func() error { return l.commitLoop(ctx) })
 	group.Go(func() error { return l.followTable(ctx) })
-	group.Go(func() error { return l.followList(ctx) })
+	group.Go(func() error { return l.pollVMs(ctx) })
 	for range pushWorkers {
 		group.Go(func() error { return l.pushLoop(ctx) })
 	}
 	err := group.Wait()
 	l.failPending()
-	l.Recorder.Record(timeline.LeadLost, timeline.Subject{}, "lead of "+l.Cell+" ended")
+	l.Recorder.Record(timeline.LeadLost, timeline.Subject{}, "leader of "+l.Cell+" ended")
 	return err
 }
 
-// Begin takes the cell over as a new epoch, with a lease that was asked for at a time.
-func (l *Leader) Begin(ctx context.Context, lease store.Lease, asked time.Time) error {
-	l.prolonged(asked, lease)
-	taken, err := l.document.Update(ctx, func(d *cell.Document) (*cell.Document, bool, error) {
+// Begin takes the cell over in a new epoch, with a lease that was requested at requestedAt.
+func (l *Leader) Begin(ctx context.Context, lease store.Lease, requestedAt time.Time) error {
+	l.setLease(requestedAt, lease)
+	updated, err := l.document.Update(ctx, func(d *cell.Document) (*cell.Document, bool, error) {
 		next := d.Clone()
 		next.TakeOver(l.Agent)
 		return next, true, nil
@@ -157,48 +157,48 @@
 		return err
 	}
 	l.mu.Lock()
-	l.epoch, l.began, l.dirty = taken.Epoch(), time.Now(), true
+	l.epoch, l.startedAt, l.dirty = updated.Epoch(), time.Now(), true
 	l.mu.Unlock()
-	l.Logger.Info("took over cell %s as epoch %d", l.Cell, taken.Epoch())
-	l.Recorder.Record(timeline.LeadTaken, timeline.Subject{}, "lead of "+l.Cell)
+	l.Logger.Info("took over cell; cell=%s epoch=%d", l.Cell, updated.Epoch())
+	l.Recorder.Record(timeline.LeadTaken, timeline.Subject{}, "leader of "+l.Cell)
 	return nil
 }
 
 func (l *Leader) followTable(ctx context.Context) error {
-	store.Follow(ctx, l.rows, func(t table.Table, _ store.Version) {
+	store.Follow(ctx, l.tableDocument, func(t table.Table, _ store.Version) {
 		l.mu.Lock()
 		l.table, l.dirty = t, true
 		l.mu.Unlock()
 		l.Recorder.Record(timeline.TableSeen, timeline.Subject{}, versionText(t.Version()))
 		l.publish()
-		l.signal()
+		l.notify()
 	}, func(err error) { l.Logger.Debug("cannot watch the table: %v", err) })
 	return ctx.Err()
 }
 
-func (l *Leader) signal() {
+func (l *Leader) notify() {
 	select {
-	case l.wake <- struct{}{}:
+	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-// jitter returns d lengthened by up to a quarter, so that processes do not act in step.
+// jitter returns d extended by up to a quarter, so that processes do not act at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Int64N(int64(d)/4+1))
 }
 
-// position is where an agent is to be; l.mu is held.
+// position returns the epoch and revision of the desired runs that an agent must apply; l.mu is held.
 func (l *Leader) position(a *agentView) control.Position {
 	return a.position(l.epoch)
 }
 
-// LoadTable reads the table once, before it is followed.
+// LoadTable loads the table once, before the leader watches it.
 func (l *Leader) LoadTable(ctx context.Context) error {
-	if err := l.rows.Load(ctx); err != nil {
+	if err := l.tableDocument.Load(ctx); err != nil {
 		return err
 	}
-	t, _, _ := l.rows.Current()
+	t, _, _ := l.tableDocument.Current()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table, l.dirty = t, true
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -19,12 +19,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/vmlist"
 )
 
-// memory is a store in memory without leases.
-type memory map[string]store.Record
+// memoryStore is an in-memory store without leases.
+type memoryStore map[string]store.Record
 
-func (m memory) Get(_ context.Context, key string) (store.Record, error) { return m[key], nil }
+func (m memoryStore) Get(_ context.Context, key string) (store.Record, error) { return m[key], nil }
 
-func (m memory) Swap(_ context.Context, key string, from store.Version, value []byte) (store.Version, error) {
+func (m memoryStore) Swap(_ context.Context, key string, from store.Version, value []byte) (store.Version, error) {
 	if m[key].Version() != from {
 		return 0, fault.New(fault.Conflict, "another version")
 	}
@@ -32,19 +32,19 @@
 	return from + 1, nil
 }
 
-func (m memory) Watch(_ context.Context, key string, _ store.Version) (store.Record, error) {
+func (m memoryStore) Watch(_ context.Context, key string, _ store.Version) (store.Record, error) {
 	return m[key], nil
 }
 
-func (m memory) Acquire(_ context.Context, _, holder string, ttl time.Duration) (store.Lease, error) {
+func (m memoryStore) Acquire(_ context.Context, _, holder string, ttl time.Duration) (store.Lease, error) {
 	return store.NewLease(holder, ttl), nil
 }
 
-func (m memory) Holder(context.Context, string) (store.Lease, error) { return store.Lease{}, nil }
+func (m memoryStore) Holder(context.Context, string) (store.Lease, error) { return store.Lease{}, nil }
 
-func (m memory) Release(context.Context, string, string) error { return nil }
+func (m memoryStore) Release(context.Context, string, string) error { return nil }
 
-func begin(t *testing.T, m memory, name string) *Leader {
+func beginLeader(t *testing.T, m memoryStore, name string) *Leader {
 	t.Helper()
 	clock := timeline.NewClock(time.Now)
 	l := New(Config{
@@ -55,10 +55,10 @@
 	return l
 }
 
-func TestStaleLeadCommitsNothing(t *testing.T) {
-	m := memory{}
-	old := begin(t, m, "old")
-	begin(t, m, "new")
+func TestStaleLeaderCommitsNothing(t *testing.T) {
+	m := memoryStore{}
+	old := beginLeader(t, m, "old")
+	beginLeader(t, m, "new")
 	version := m[DocumentKey("h-0")].Version()
 	old.enqueue(newOperation(func(d *cell.Document) (bool, error) {
 		d.Scale("lookups", 1)
@@ -68,8 +68,8 @@
 	assert.Equal(t, m[DocumentKey("h-0")].Version(), version)
 }
 
-func TestLeadWhoseLeaseLapsedDecidesNothing(t *testing.T) {
-	l := begin(t, memory{}, "lead")
+func TestLeaderWithExpiredLeaseDecidesNothing(t *testing.T) {
+	l := beginLeader(t, memoryStore{}, "lead")
 	beat := control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
 	answer, err := l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
@@ -78,19 +78,19 @@
 	answer, err = l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Desired != nil && len(answer.Acked) == 1)
-	l.prolonged(time.Now().Add(-time.Minute), store.NewLease("lead", time.Second))
+	l.setLease(time.Now().Add(-time.Minute), store.NewLease("lead", time.Second))
 	answer, err = l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Desired == nil && len(answer.Acked) == 0)
 }
 
-func TestRunIsGivenUpOnlyOnceTheAgentHasHeard(t *testing.T) {
-	l := begin(t, memory{}, "lead")
+func TestCanceledRunIsDroppedOnlyOnceAgentAppliedIt(t *testing.T) {
+	l := beginLeader(t, memoryStore{}, "lead")
 	vm := control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
 	l.UpdateVMs([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
 	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
-	change(t, l, func(d *cell.Document) error {
+	commitChange(t, l, func(d *cell.Document) error {
 		d.Submit(cell.NewJob("job", "mailing", "", 1, time.Now()))
 		_, err := d.Assign(task.NewID("job", 0), "vm-1", resource.New(500, 10, 0))
 		return err
@@ -98,8 +98,8 @@
 	answer, err := l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
 	assert.Equal(t, len(answer.Desired.Runs), 1)
-	change(t, l, func(d *cell.Document) error { return d.Cancel("job") })
-	// The agent may still start what it was told before.
+	commitChange(t, l, func(d *cell.Document) error { return d.Cancel("job") })
+	// The agent has not applied the cancellation yet and may still start the run.
 	vm.Applied = answer.Desired.Position
 	answer, err = l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
@@ -114,9 +114,9 @@
 	assert.Equal(t, len(d.Tasks()), 0)
 }
 
-// An empty list once scaled every service of the cell to nothing.
-func TestListThatNamesNoVMOfTheCellIsNotBelieved(t *testing.T) {
-	l := begin(t, memory{}, "lead")
+// An empty list once scaled every service of the cell to zero replicas.
+func TestVMListWithoutVMsOfCellIsIgnored(t *testing.T) {
+	l := beginLeader(t, memoryStore{}, "lead")
 	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}})
 	assert.NilError(t, err)
 	l.UpdateVMs([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
@@ -126,7 +126,7 @@
 	assert.Equal(t, share.Of(3), 3)
 }
 
-func change(t *testing.T, l *Leader, do func(d *cell.Document) error) {
+func commitChange(t *testing.T, l *Leader, do func(d *cell.Document) error) {
 	t.Helper()
 	l.enqueue(newOperation(func(d *cell.Document) (bool, error) {
 		assert.NilError(t, do(d))
@@ -135,7 +135,7 @@
 	assert.NilError(t, l.CommitOnce(t.Context()))
 }
 
-func TestSharesOfAllCellsMakeTheWhole(t *testing.T) {
+func TestSharesOfAllCellsSumToTotal(t *testing.T) {
 	var vms []vmlist.VM
 	for hall, workers := range map[string]int{"a": 3, "b": 31, "c": 7} {
 		for i := range workers {
@@ -155,10 +155,10 @@
 	}
 }
 
-// TestWorkerThatDiedWithTheLastLeadIsShownAsSilent failed without a line for vm-2.
-func TestWorkerThatDiedWithTheLastLeadIsShownAsSilent(t *testing.T) {
-	l := begin(t, memory{}, "vm-1")
-	change(t, l, func(d *cell.Document) error {
+// TestWorkerLostWithPreviousLeaderIsShownAsSilent guards against a status without the lost worker: vm-2 was missing from it.
+func TestWorkerLostWithPreviousLeaderIsShownAsSilent(t *testing.T) {
+	l := beginLeader(t, memoryStore{}, "vm-1")
+	commitChange(t, l, func(d *cell.Document) error {
 		d.Submit(cell.NewJob("job", "mailing", "", 1, time.Now()))
 		_, err := d.Assign(task.NewID("job", 0), "vm-2", resource.New(500, 10, 0))
 		return err
@@ -173,9 +173,9 @@
 	assert.Equal(t, statuses[0].Tasks, 1)
 }
 
-// holderStore is a store that names a holder of each lease, or fails.
+// holderStore is a store whose leases all have one holder, or whose Holder fails.
 type holderStore struct {
-	memory
+	memoryStore
 	holder string
 	err    error
 }
@@ -184,37 +184,37 @@
 	return store.NewLease(h.holder, time.Second), h.err
 }
 
-// TestLeadWithoutItsLeaseSaysSo: a lead that was cut from the store, but not from its agents, held its cell for good.
-func TestLeadWithoutItsLeaseSaysSo(t *testing.T) {
-	l := begin(t, memory{}, "vm-1")
+// TestLeaderReportsItsExpiredLease guards against a leader that lost the store, but not its agents, and kept its cell forever.
+func TestLeaderReportsItsExpiredLease(t *testing.T) {
+	l := beginLeader(t, memoryStore{}, "vm-1")
 	profile := &control.Profile{Agent: "vm-2", Hall: "h", Rack: 0}
-	// The entry asks a lead that nobody beats to, which would push what changed to a peer that has no connection.
-	asked, entry := begin(t, memory{}, "vm-1"), &rpc.Peer{}
-	asked.subscribers[entry] = struct{}{}
+	// The entry polls a leader without heartbeats: any change would be pushed to the entry, whose peer has no connection.
+	polled, entry := beginLeader(t, memoryStore{}, "vm-1"), &rpc.Peer{}
+	polled.subscribers[entry] = struct{}{}
 	for _, lapsed := range []bool{false, true} {
 		if lapsed {
-			for _, lead := range []*Leader{l, asked} {
-				lead.prolonged(time.Now().Add(-2*time.Hour), store.NewLease("vm-1", time.Hour))
+			for _, leader := range []*Leader{l, polled} {
+				leader.setLease(time.Now().Add(-2*time.Hour), store.NewLease("vm-1", time.Hour))
 			}
 		}
 		answer, err := l.Heartbeat(t.Context(), nil, control.Beat{Instance: "vm-2", Boot: "b", Profile: profile})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Lapsed, lapsed)
-		subscribed, err := asked.Subscribe(t.Context(), entry, control.Subscribe{})
+		subscribed, err := polled.Subscribe(t.Context(), entry, control.Subscribe{})
 		assert.NilError(t, err)
 		assert.Equal(t, subscribed.Lapsed, lapsed)
 	}
 }
 
-func TestSupersededOnlyWhereTheStoreSaysSo(t *testing.T) {
+func TestLeaderIsSupersededOnlyIfStoreConfirmsIt(t *testing.T) {
 	cases := []struct {
 		name       string
 		store      holderStore
 		superseded bool
 	}{
-		{"another holds the lease", holderStore{holder: "b"}, true},
-		{"nobody holds the lease", holderStore{}, true},
-		{"the lead holds it again", holderStore{holder: "a"}, false},
+		{"another process holds the lease", holderStore{holder: "b"}, true},
+		{"no process holds the lease", holderStore{}, true},
+		{"the leader holds it again", holderStore{holder: "a"}, false},
 		{"the store does not answer", holderStore{err: fault.New(fault.Unavailable, "down")}, false},
 	}
 	for _, c := range cases {
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -10,18 +10,18 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// prolonged takes note of a lease that was asked for at a time; it is counted from then.
-func (l *Leader) prolonged(asked time.Time, lease store.Lease) {
+// setLease records a granted lease, whose duration counts from the time of the request.
+func (l *Leader) setLease(requestedAt time.Time, lease store.Lease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaseEnd = asked.Add(min(lease.Remaining(), l.Timing.Lease))
+	l.leaseEnd = requestedAt.Add(min(lease.Remaining(), l.Timing.Lease))
 }
 
-// holds reports whether the lease has not lapsed; l.mu is held.
-func (l *Leader) holds(now time.Time) bool { return now.Before(l.leaseEnd) }
+// holdsLease reports whether the lease has not expired; l.mu is held.
+func (l *Leader) holdsLease(now time.Time) bool { return now.Before(l.leaseEnd) }
 
-// keepLease prolongs the lease until another holds it.
-func (l *Leader) keepLease(ctx context.Context) error {
+// renewLease renews the lease periodically until another process holds it.
+func (l *Leader) renewLease(ctx context.Context) error {
 	for ctx.Err() == nil {
 		store.Pause(ctx, jitter(l.Timing.Lease/4))
 		if err := l.Renew(ctx); err != nil {
@@ -31,29 +31,29 @@
 	return ctx.Err()
 }
 
-// Renew prolongs the lease; an error says that another holds it or has led in between.
+// Renew renews the lease once; it returns an error if another process holds the lease or has led since.
 func (l *Leader) Renew(ctx context.Context) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	lease, err := l.Store.Acquire(ctx, LeaseName(l.Cell), l.Address, l.Timing.Lease)
-	l.noteStore(err)
+	l.recordStoreResult(err)
 	switch {
 	case err == nil:
-		l.prolonged(asked, lease)
+		l.setLease(requestedAt, lease)
 		return l.checkEpoch(ctx)
 	case fault.Is(err, fault.Conflict):
-		return fault.Wrap(err, fault.Stale, "the lease of "+l.Cell+" is "+lease.Holder()+"'s")
+		return fault.Wrap(err, fault.Stale, "the lease of "+l.Cell+" is held by "+lease.Holder()+", not by this process")
 	default:
 		return nil
 	}
 }
 
-// checkEpoch reads the document again after a lapse, since another may have led in between.
+// checkEpoch reloads the document after an outage of the store, during which another process may have led.
 func (l *Leader) checkEpoch(ctx context.Context) error {
 	l.mu.Lock()
-	lapsed := !l.storeUp
+	storeWasDown := !l.storeUp
 	epoch := l.epoch
 	l.mu.Unlock()
-	if !lapsed {
+	if !storeWasDown {
 		return nil
 	}
 	if err := l.document.Load(ctx); err != nil {
@@ -61,41 +61,41 @@
 	}
 	current, _, _ := l.document.Current()
 	if current.Epoch() != epoch {
-		return fault.New(fault.Stale, "another lead took over %s as epoch %d", l.Cell, current.Epoch())
+		return fault.New(fault.Stale, "another leader took over %s as epoch %d", l.Cell, current.Epoch())
 	}
 	l.mu.Lock()
 	l.storeUp = true
 	l.mu.Unlock()
-	l.Recorder.Record(timeline.StoreBack, timeline.Subject{}, "the store answers again")
-	l.signal()
+	l.Recorder.Record(timeline.StoreBack, timeline.Subject{}, "the store is reachable again")
+	l.notify()
 	return nil
 }
 
-// noteStore takes note of whether the store answered a call.
-func (l *Leader) noteStore(err error) {
+// recordStoreResult marks the store as down if a call to it failed without an answer.
+func (l *Leader) recordStoreResult(err error) {
 	kind := fault.KindOf(err)
 	down := err != nil && (kind == fault.Unavailable || kind == fault.OutcomeUnknown || kind == fault.DeadlineExceeded)
 	if !down {
 		return
 	}
 	l.mu.Lock()
-	was := l.storeUp
+	wasUp := l.storeUp
 	l.storeUp = false
 	l.mu.Unlock()
-	if was {
-		l.Logger.Warn("the store does not answer: %v", err)
-		l.Recorder.Record(timeline.StoreLost, timeline.Subject{}, "the store does not answer")
+	if wasUp {
+		l.Logger.Warn("the store is unreachable: %v", err)
+		l.Recorder.Record(timeline.StoreLost, timeline.Subject{}, "the store is unreachable")
 	}
 }
 
-// CheckSuperseded returns an error of kind Stale where the store says that a lead at an address, whose lease has lapsed, no
-// longer holds the lease of its cell; a store that does not answer says nothing.
+// CheckSuperseded returns an error of kind Stale if, according to the store, a leader at an address whose lease has expired no longer
+// holds the lease of its cell. It returns nil if the store does not answer.
 func CheckSuperseded(ctx context.Context, s store.Store, cellName, address string) error {
-	held, err := s.Holder(ctx, LeaseName(cellName))
-	if err != nil || held.Holder() == address {
+	lease, err := s.Holder(ctx, LeaseName(cellName))
+	if err != nil || lease.Holder() == address {
 		return nil //nolint:nilerr // without the store's answer the lead stays the best that is known
 	}
-	return fault.New(fault.Stale, "the lease of %s is no longer %s's", cellName, address)
+	return fault.New(fault.Stale, "the lease of %s is no longer held by %s", cellName, address)
 }
 
 func versionText(version uint64) string { return "table version " + strconv.FormatUint(version, 10) }
--- a/internal/leader/measurements.go
+++ b/internal/leader/measurements.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	firstRetry = time.Second
-	lastRetry  = time.Minute
+	minRetryDelay = time.Second
+	maxRetryDelay = time.Minute
 )
 
-// learn takes in the measurements of a beat; l.mu is held.
-func (l *Leader) learn(a *agentView, beat *control.Beat, now time.Time) {
-	for _, u := range beat.Usage {
-		run := u.Run.Decode()
-		s, ok := a.statuses[run]
+// recordMeasurements adds the measurements of a heartbeat to the estimates and to the interference model; l.mu is held.
+func (l *Leader) recordMeasurements(agent *agentView, beat *control.Beat, now time.Time) {
+	for _, usage := range beat.Usage {
+		run := usage.Run.Decode()
+		s, ok := agent.statuses[run]
 		if !ok {
 			continue
 		}
-		a.usage[run] = u.Used.Decode()
-		l.estimate(s.workload).Observe(u.Used.Decode())
+		agent.usage[run] = usage.Used.Decode()
+		l.estimate(s.workload).Observe(usage.Used.Decode())
 	}
-	for _, y := range beat.Latency {
-		a.latency[y.Service] = y
-		neighbors := make([]interference.Neighbor, 0, len(y.Neighbors))
-		for _, n := range y.Neighbors {
+	for _, latency := range beat.Latency {
+		agent.latency[latency.Service] = latency
+		neighbors := make([]interference.Neighbor, 0, len(latency.Neighbors))
+		for _, n := range latency.Neighbors {
 			neighbors = append(neighbors, interference.NewNeighbor(n.Workload, n.Share))
 		}
-		run := time.Duration(y.RunMicros) * time.Microsecond
-		l.model.Observe(y.Service, interference.BandOf(y.Load), neighbors, run, y.Samples, now)
+		runtime := time.Duration(latency.RunMicros) * time.Microsecond
+		l.model.Observe(latency.Service, interference.BandOf(latency.Load), neighbors, runtime, latency.Samples, now)
 	}
-	for run := range a.usage {
-		if _, ok := a.statuses[run]; !ok {
-			delete(a.usage, run)
+	for run := range agent.usage {
+		if _, ok := agent.statuses[run]; !ok {
+			delete(agent.usage, run)
 		}
 	}
 }
@@ -51,30 +51,30 @@
 	return e
 }
 
-// ended takes note of a run whose end was committed; l.mu is held.
-func (l *Leader) ended(instance, workload string, run task.Run, state task.State, ran time.Duration, failures int) {
+// runEnded updates retry delays, estimates and worker probation after the end of a run was committed; l.mu is held.
+func (l *Leader) runEnded(instance, workload string, run task.Run, state task.State, runtime time.Duration, failures int) {
 	now := time.Now()
 	delete(l.evicting, run)
 	delete(l.notBefore, run.ID())
-	a, ok := l.agents[instance]
+	agent, ok := l.agents[instance]
 	switch state {
 	case task.Finished:
-		if ran > 0 {
-			l.estimate(workload).ObserveRuntime(ran)
+		if runtime > 0 {
+			l.estimate(workload).ObserveRuntime(runtime)
 		}
 		if ok {
-			workerProbation.Succeed(&a.health)
+			workerProbation.Succeed(&agent.probation)
 		}
 	case task.Failed:
-		l.notBefore[run.ID()] = now.Add(jitter(min(firstRetry<<min(failures, 6), lastRetry)))
-		// A task that failed elsewhere before says more about itself than about this worker.
-		if ok && failures <= 1 && workerProbation.Fail(&a.health, now) {
-			l.Recorder.Record(timeline.WorkerProbation, subjectOf(run, instance), "the worker gets one trial at a time")
+		l.notBefore[run.ID()] = now.Add(jitter(min(minRetryDelay<<min(failures, 6), maxRetryDelay)))
+		// A task that also failed elsewhere is more likely the cause than this worker.
+		if ok && failures <= 1 && workerProbation.Fail(&agent.probation, now) {
+			l.Recorder.Record(timeline.WorkerProbation, subjectOf(run, instance), "the worker is on probation and gets one trial task at a time")
 		}
 	case task.Refused:
-		l.notBefore[run.ID()] = now.Add(jitter(firstRetry))
+		l.notBefore[run.ID()] = now.Add(jitter(minRetryDelay))
 		if ok {
-			workerProbation.CancelTrial(&a.health)
+			workerProbation.CancelTrial(&agent.probation)
 		}
 	}
 }
--- a/internal/leader/operation.go
+++ b/internal/leader/operation.go
@@ -10,71 +10,71 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// operation is a change that waits for the next commit.
+// operation is a change that is pending for the next commit.
 //
-// Apply may be called several times, each on a fresh copy of the document, and reports whether it changed it.
+// Apply reports whether it changed the document; it may be called several times, each on a new copy.
 type operation struct {
-	apply  func(d *cell.Document) (bool, error)
-	after  func()
-	urgent bool
-	result chan error
+	apply    func(d *cell.Document) (bool, error)
+	onCommit func()
+	urgent   bool
+	result   chan error
 
 	changed bool
 	err     error
 }
 
 func newOperation(apply func(d *cell.Document) (bool, error)) *operation {
-	return &operation{apply: apply, after: func() {}, result: make(chan error, 1)}
+	return &operation{apply: apply, onCommit: func() {}, result: make(chan error, 1)}
 }
 
-// enqueue hands an operation to the next commit.
+// enqueue adds an operation to the next commit.
 func (l *Leader) enqueue(o *operation) {
 	l.mu.Lock()
 	l.pending = append(l.pending, o)
 	l.urgent = l.urgent || o.urgent
 	l.mu.Unlock()
-	l.signal()
+	l.notify()
 }
 
-// failPending answers the operations that no commit will take.
+// failPending fails the operations that will not be committed.
 func (l *Leader) failPending() {
 	l.mu.Lock()
-	left := l.pending
+	pending := l.pending
 	l.pending = nil
 	l.mu.Unlock()
-	for _, o := range left {
-		o.result <- fault.New(fault.Stale, "this process is no longer the lead of %s", l.Cell)
+	for _, o := range pending {
+		o.result <- fault.New(fault.Stale, "this process is no longer the leader of %s", l.Cell)
 	}
 }
 
-// reportOperation is the end of a run as an operation.
-func (l *Leader) reportOperation(r control.Report) *operation {
-	run, state := r.Run.Decode(), task.ParseState(r.State)
-	ran := time.Duration(r.RuntimeMillis) * time.Millisecond
+// reportOperation returns the operation that commits the reported end of a run.
+func (l *Leader) reportOperation(report control.Report) *operation {
+	run, state := report.Run.Decode(), task.ParseState(report.State)
+	runtime := time.Duration(report.RuntimeMillis) * time.Millisecond
 	var before cell.Task
 	var jobEnded bool
 	o := newOperation(func(d *cell.Document) (bool, error) {
 		before, _ = d.Task(run.ID())
-		_, wasOpen := d.Job(run.ID().Job())
-		news := d.Report(cell.NewReport(run, state, r.Checkpoint), l.attemptsOf(before))
+		_, wasUnfinished := d.Job(run.ID().Job())
+		changed := d.Report(cell.NewReport(run, state, report.Checkpoint), l.attemptsOf(before))
 		j, _ := d.Job(run.ID().Job())
-		jobEnded = news && wasOpen && j.State().IsFinal()
-		return news, nil
+		jobEnded = changed && wasUnfinished && j.State().IsFinal()
+		return changed, nil
 	})
-	o.after = func() {
+	o.onCommit = func() {
 		l.mu.Lock()
 		failures := before.Failures()
 		if state == task.Failed {
 			failures++
 		}
-		l.ended(before.Instance(), before.Workload(), run, state, ran, failures)
+		l.runEnded(before.Instance(), before.Workload(), run, state, runtime, failures)
 		l.mu.Unlock()
 		l.recordEnd(run, before, state, jobEnded)
 	}
 	return o
 }
 
-// attemptsOf is how often a task may fail; a replica may for ever.
+// attemptsOf returns how often a task may fail, 0 for no limit, as for replicas and for workloads missing from the table.
 func (l *Leader) attemptsOf(t cell.Task) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +85,7 @@
 	return r.Attempts()
 }
 
-// endKinds are the events of runs that end.
+// endKinds maps final states of runs to events.
 var endKinds = map[task.State]timeline.Kind{
 	task.Finished:     timeline.TaskFinished,
 	task.Failed:       timeline.TaskFailed,
@@ -94,7 +94,7 @@
 	task.Refused:      timeline.TaskRefused,
 }
 
-// EndKind returns the event of a run that ends in a state.
+// EndKind returns the event for a run that ends in a state.
 func EndKind(state task.State) timeline.Kind { return endKinds[state] }
 
 func (l *Leader) recordEnd(run task.Run, before cell.Task, state task.State, jobEnded bool) {
--- a/internal/leader/push.go
+++ b/internal/leader/push.go
@@ -13,13 +13,13 @@
 	pushTimeout = time.Second
 )
 
-// pushLoop is one of the workers that send agents what they are to run.
+// pushLoop sends queued agents their desired runs; several loops run concurrently.
 func (l *Leader) pushLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case instance := <-l.pushes:
+		case instance := <-l.pushQueue:
 			l.push(ctx, instance)
 		}
 	}
@@ -27,47 +27,47 @@
 
 func (l *Leader) push(ctx context.Context, instance string) {
 	l.mu.Lock()
-	a, ok := l.agents[instance]
-	if !ok || !l.holds(time.Now()) || a.peer == nil || a.applied == l.position(a) {
+	agent, ok := l.agents[instance]
+	if !ok || !l.holdsLease(time.Now()) || agent.peer == nil || agent.applied == l.position(agent) {
 		l.mu.Unlock()
 		return
 	}
-	peer, desired := a.peer, l.desired(a)
+	peer, desired := agent.peer, l.desired(agent)
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	if _, err := rpc.Call[control.Desired, control.Ack](ctx, peer, control.MethodDesired, *desired); err != nil {
-		l.Logger.Debug("cannot tell %s what to run: %v", instance, err)
+		l.Logger.Debug("cannot push desired runs; instance=%s error=%v", instance, err)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a.position(l.epoch) == desired.Position {
-		a.setBase()
+	if agent.position(l.epoch) == desired.Position {
+		agent.setBase()
 	}
 }
 
-// setBase takes note that the agent has the present position, against which later changes are told; l.mu is held.
+// setBase records that the agent has its current desired runs, so that later changes are sent relative to them; the leader's mu is held.
 func (a *agentView) setBase() { a.base, a.baseRevision = a.desired, a.revision }
 
-// position is where the agent is to be; l.mu is held.
+// position returns the epoch and revision of the desired runs that the agent must apply; the leader's mu is held.
 func (a *agentView) position(epoch uint64) control.Position {
 	return control.Position{Epoch: epoch, Revision: a.revision}
 }
 
-// desired is the message that tells an agent what to run, or what changed of it; l.mu is held.
-func (l *Leader) desired(a *agentView) *control.Desired {
-	d := &control.Desired{Position: l.position(a), Boot: a.boot, Leaving: a.leaving}
-	if a.baseRevision == 0 {
-		d.Runs = a.desired
+// desired returns the message with an agent's desired runs, or only their changes since its base; l.mu is held.
+func (l *Leader) desired(agent *agentView) *control.Desired {
+	d := &control.Desired{Position: l.position(agent), Boot: agent.boot, Leaving: agent.leaving}
+	if agent.baseRevision == 0 {
+		d.Runs = agent.desired
 		return d
 	}
-	d.Base = control.Position{Epoch: l.epoch, Revision: a.baseRevision}
-	before := make(map[control.Run]control.DesiredRun, len(a.base))
-	for _, r := range a.base {
+	d.Base = control.Position{Epoch: l.epoch, Revision: agent.baseRevision}
+	before := make(map[control.Run]control.DesiredRun, len(agent.base))
+	for _, r := range agent.base {
 		before[r.Run] = r
 	}
-	for _, r := range a.desired {
+	for _, r := range agent.desired {
 		if old, ok := before[r.Run]; !ok || old != r {
 			d.Runs = append(d.Runs, r)
 		}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -16,12 +16,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// Status describes the cell for operators.
+// Status returns the status of the cell for operators.
 func (l *Leader) Status(_ context.Context, _ *rpc.Peer, _ control.StatusQuery) (control.CellStatus, error) {
 	d, _, _ := l.document.Current()
-	known := append(slices.Clone(d.EndedJobs()), d.Jobs()...)
-	jobs := make([]control.Job, 0, len(known))
-	for _, j := range known {
+	all := append(slices.Clone(d.EndedJobs()), d.Jobs()...)
+	jobs := make([]control.Job, 0, len(all))
+	for _, j := range all {
 		jobs = append(jobs, l.jobWire(d, j))
 	}
 	l.mu.Lock()
@@ -33,8 +33,8 @@
 	}, nil
 }
 
-// workerStatuses describes the workers, and those that this lead never heard of but that have tasks, as a VM has that
-// died with the lead before; l.mu is held.
+// workerStatuses returns the status of all workers, including those with tasks that never sent this leader a heartbeat, such as a VM
+// that died together with the previous leader; l.mu is held.
 func (l *Leader) workerStatuses(d *cell.Document, now time.Time) []control.WorkerStatus {
 	committed := make(map[string]resource.Vector)
 	tasks := make(map[string]int)
@@ -45,26 +45,26 @@
 	statuses := make([]control.WorkerStatus, 0, len(l.agents))
 	for instance, a := range l.agents {
 		statuses = append(statuses, control.WorkerStatus{
-			Instance: instance, Rack: a.profile.Rack, State: l.state(instance, a, now), Tasks: tasks[instance],
+			Instance: instance, Rack: a.profile.Rack, State: l.stateName(instance, a, now), Tasks: tasks[instance],
 			Committed: committed[instance].String(), Share: committed[instance].DominantShare(a.capacity),
-			HeardMillis: now.Sub(a.heard).Milliseconds(), Requests: a.profile.Requests, AgentBoot: a.boot,
+			HeardMillis: now.Sub(a.lastHeartbeat).Milliseconds(), Requests: a.profile.Requests, AgentBoot: a.boot,
 			Accelerators: a.capacity.Accelerators(),
 		})
 	}
 	for instance, count := range tasks {
-		if _, heard := l.agents[instance]; instance == "" || heard {
+		if _, known := l.agents[instance]; instance == "" || known {
 			continue
 		}
 		statuses = append(statuses, control.WorkerStatus{
-			Instance: instance, State: l.state(instance, &agentView{}, now), Tasks: count, Committed: committed[instance].String(),
-			HeardMillis: now.Sub(l.began).Milliseconds(),
+			Instance: instance, State: l.stateName(instance, &agentView{}, now), Tasks: count, Committed: committed[instance].String(),
+			HeardMillis: now.Sub(l.startedAt).Milliseconds(),
 		})
 	}
 	slices.SortFunc(statuses, func(a, b control.WorkerStatus) int { return strings.Compare(a.Instance, b.Instance) })
 	return statuses
 }
 
-// serviceStatuses describes the services against their targets; l.mu is held.
+// serviceStatuses returns the replicas and latency of each service relative to its target; l.mu is held.
 func (l *Leader) serviceStatuses(d *cell.Document) []control.ServiceStatus {
 	var statuses []control.ServiceStatus
 	for _, r := range l.table.Rows() {
@@ -78,8 +78,8 @@
 			s.Running += a.running(r.Workload())
 			s.Ratio = max(s.Ratio, a.latency[r.Workload()].Ratio)
 		}
-		if why, ok := l.waiting[r.Workload()]; ok {
-			s.Waiting = why.String()
+		if reason, ok := l.waiting[r.Workload()]; ok {
+			s.Waiting = reason.String()
 		}
 		statuses = append(statuses, s)
 	}
@@ -96,7 +96,7 @@
 	return count
 }
 
-// Explain says why a task is where it is, or why it waits.
+// Explain returns why a task is placed where it is, or why it waits.
 func (l *Leader) Explain(_ context.Context, _ *rpc.Peer, q control.ExplainQuery) (control.Explanation, error) {
 	id, err := task.ParseID(q.Task)
 	if err != nil {
@@ -107,30 +107,30 @@
 	if !ok {
 		return l.explainUnplaced(d, id)
 	}
-	e := control.Explanation{
+	explanation := control.Explanation{
 		Task: q.Task, Workload: t.Workload(), Instance: t.Instance(), Incarnation: uint64(t.Incarnation()),
 		Checkpoint: t.Checkpoint(), Failures: t.Failures(), Evictions: t.Evictions(), State: "waiting",
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !t.IsPlaced() {
-		e.Reason = l.whyWaiting(id)
-		return e, nil
+		explanation.Reason = l.waitingReason(id)
+		return explanation, nil
 	}
-	e.Size, e.State = t.Size().String(), "placed"
-	e.Reason = "it had the least cost of the workers with room"
+	explanation.Size, explanation.State = t.Size().String(), "placed"
+	explanation.Reason = "it had the lowest cost of the workers with enough free capacity"
 	if a, ok := l.agents[t.Instance()]; ok {
 		if s, found := a.statuses[t.Run()]; found {
-			e.State = s.state.String()
+			explanation.State = s.state.String()
 		}
-		if !a.isHeard(time.Now(), l.Timing.Heartbeat) {
-			e.Reason = "its agent is silent; it moves once the agent confirms a stop or the platform says that the VM is gone"
+		if !a.isReachable(time.Now(), l.Timing.Heartbeat) {
+			explanation.Reason = "its agent is unreachable; it moves once the agent confirms a stop or the platform lists the VM as gone"
 		}
 	}
 	if _, ok := l.evicting[t.Run()]; ok {
-		e.Reason = "it is being checkpointed to run elsewhere"
+		explanation.Reason = "it is being checkpointed to run elsewhere"
 	}
-	return e, nil
+	return explanation, nil
 }
 
 func (l *Leader) explainUnplaced(d *cell.Document, id task.ID) (control.Explanation, error) {
@@ -138,34 +138,34 @@
 	if !ok || id.Index() >= j.Tasks() {
 		return control.Explanation{}, fault.New(fault.NotFound, "%s has no task %s", l.Cell, id)
 	}
-	e := control.Explanation{Task: id.String(), Workload: j.Workload(), State: j.State().String()}
+	explanation := control.Explanation{Task: id.String(), Workload: j.Workload(), State: j.State().String()}
 	if id.Index() < j.Tasks()-j.Unstarted() {
-		e.Reason = "it has ended"
-		return e, nil
+		explanation.Reason = "it has ended"
+		return explanation, nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.State, e.Reason = "waiting", l.whyWaiting(id)
-	return e, nil
+	explanation.State, explanation.Reason = "waiting", l.waitingReason(id)
+	return explanation, nil
 }
 
-// whyWaiting says why a task waits; l.mu is held.
-func (l *Leader) whyWaiting(id task.ID) string {
+// waitingReason returns why a task waits; l.mu is held.
+func (l *Leader) waitingReason(id task.ID) string {
 	if until, ok := l.notBefore[id]; ok && time.Now().Before(until) {
-		return "it failed and waits before its next try"
+		return "it failed and waits before its next attempt"
 	}
-	if why, ok := l.waiting[id.Job()]; ok {
-		return why.String()
+	if reason, ok := l.waiting[id.Job()]; ok {
+		return reason.String()
 	}
 	return "it waits for the next plan"
 }
 
-// Timeline returns the events of the cell after a stamp: the lead's own and those of its agents.
+// Timeline returns the events of the cell after a stamp, as recorded by all reachable agents.
 func (l *Leader) Timeline(ctx context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.Wire, error) {
 	l.mu.Lock()
 	var peers []*rpc.Peer
 	for _, a := range l.agents {
-		if a.peer != nil && a.isHeard(time.Now(), l.Timing.Heartbeat) {
+		if a.peer != nil && a.isReachable(time.Now(), l.Timing.Heartbeat) {
 			peers = append(peers, a.peer)
 		}
 	}
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -15,7 +15,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/vmlist"
 )
 
-// Subscribe hands an entry the summary of the cell and pushes later ones to it.
+// Subscribe returns the summary of the cell to an entry and pushes later summaries to it.
 func (l *Leader) Subscribe(_ context.Context, p *rpc.Peer, s control.Subscribe) (control.SubscribeAnswer, error) {
 	l.mu.Lock()
 	if _, ok := l.subscribers[p]; !ok {
@@ -23,7 +23,7 @@
 		go l.unsubscribe(p)
 	}
 	summary := l.summary
-	answer := control.SubscribeAnswer{Load: l.load(), Lapsed: !l.holds(time.Now())}
+	answer := control.SubscribeAnswer{Load: l.load(), Lapsed: !l.holdsLease(time.Now())}
 	l.mu.Unlock()
 	if s.Seen != summary.Position {
 		answer.Summary = &summary
@@ -41,7 +41,7 @@
 	l.mu.Unlock()
 }
 
-// load describes the cell for the choice of a job's cell; l.mu is held.
+// load returns the load of the cell, by which entries choose the cell of a job; l.mu is held.
 func (l *Leader) load() control.Load {
 	load := control.Load{Waiting: len(l.waiting)}
 	var largest resource.Vector
@@ -60,11 +60,11 @@
 	return load
 }
 
-// endpoints are the replicas that serve in the cell, in a fixed order; l.mu is held.
+// endpoints returns the serving replicas of the cell in a fixed order; l.mu is held.
 func (l *Leader) endpoints() []control.Endpoint {
 	var endpoints []control.Endpoint
 	for instance, a := range l.agents {
-		if l.listed[instance] != vmlist.Gone {
+		if l.vmStates[instance] != vmlist.Gone {
 			endpoints = append(endpoints, a.endpoints(instance, l.isLeaving(instance))...)
 		}
 	}
@@ -74,7 +74,7 @@
 	return endpoints
 }
 
-// endpoints are the replicas that serve behind the agent.
+// endpoints returns the serving replicas on the agent's VM.
 func (a *agentView) endpoints(instance string, leaving bool) []control.Endpoint {
 	var endpoints []control.Endpoint
 	for _, s := range a.statuses {
@@ -89,7 +89,7 @@
 	return endpoints
 }
 
-// publishSummary pushes the endpoints to the entries if they changed.
+// publishSummary pushes the endpoints to the subscribed entries if they changed.
 func (l *Leader) publishSummary() {
 	l.mu.Lock()
 	endpoints := l.endpoints()
--- a/internal/leader/vms.go
+++ b/internal/leader/vms.go
@@ -13,8 +13,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/vmlist"
 )
 
-// followList reads the list of VMs from time to time.
-func (l *Leader) followList(ctx context.Context) error {
+// pollVMs reads the list of VMs periodically.
+func (l *Leader) pollVMs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		vms, err := l.VMs.VMs(ctx)
 		if err != nil {
@@ -27,21 +27,21 @@
 	return ctx.Err()
 }
 
-// UpdateVMs takes note of the list: the cell's share of the region, and VMs that are gone.
+// UpdateVMs applies the list of VMs: it sets the cell's share of the region and loses the runs on VMs that are gone.
 //
-// A list that names no VM of the cell, whose agents are heard, is not believed.
+// A list without any VM of the cell is ignored if the leader has received heartbeats from agents of the cell.
 func (l *Leader) UpdateVMs(vms []vmlist.VM) {
 	now := time.Now()
 	l.mu.Lock()
-	if len(l.agents) > 0 && !namesCell(l.Cell, vms) {
+	if len(l.agents) > 0 && !hasCell(l.Cell, vms) {
 		l.mu.Unlock()
-		l.Logger.Warn("the list names no VM of %s, and is not believed", l.Cell)
+		l.Logger.Warn("list of VMs ignored, since it has no VM of the cell; cell=%s", l.Cell)
 		return
 	}
-	l.listed = make(map[string]vmlist.State)
+	l.vmStates = make(map[string]vmlist.State)
 	for _, v := range vms {
 		if v.Cell() == l.Cell {
-			l.listed[v.Instance()] = v.State()
+			l.vmStates[v.Instance()] = v.State()
 		}
 	}
 	l.share = ShareOf(l.Cell, vms)
@@ -49,23 +49,23 @@
 	gone := l.goneInstances(now)
 	l.mu.Unlock()
 	for _, instance := range gone {
-		l.lose(instance)
+		l.loseInstance(instance)
 	}
-	l.signal()
+	l.notify()
 }
 
-func namesCell(cellName string, vms []vmlist.VM) bool {
+func hasCell(cellName string, vms []vmlist.VM) bool {
 	return slices.ContainsFunc(vms, func(v vmlist.VM) bool { return v.Cell() == cellName })
 }
 
-// ShareOf works out the share of a cell from the list.
+// ShareOf returns the share of a cell among the live VMs of the list.
 func ShareOf(cellName string, vms []vmlist.VM) scheduling.Share {
 	counts := make(map[string]int)
-	all := 0
+	total := 0
 	for _, v := range vms {
 		if v.State() == vmlist.Live {
 			counts[v.Cell()]++
-			all++
+			total++
 		}
 	}
 	before := 0
@@ -74,35 +74,35 @@
 			before += counts[name]
 		}
 	}
-	return scheduling.NewShare(before, counts[cellName], all)
+	return scheduling.NewShare(before, counts[cellName], total)
 }
 
-// goneInstances are those that the list calls gone and that are silent too, since the list may be wrong; l.mu is held.
+// goneInstances returns the instances that are gone in the list and also unreachable, since the list may be wrong; l.mu is held.
 func (l *Leader) goneInstances(now time.Time) []string {
-	if now.Sub(l.began) < missedBeats*l.Timing.Heartbeat {
+	if now.Sub(l.startedAt) < maxMissedHeartbeats*l.Timing.Heartbeat {
 		return nil
 	}
 	var gone []string
-	for instance, state := range l.listed {
-		a, known := l.agents[instance]
-		if state == vmlist.Gone && (!known || !a.isHeard(now, l.Timing.Heartbeat)) {
+	for instance, state := range l.vmStates {
+		agent, known := l.agents[instance]
+		if state == vmlist.Gone && (!known || !agent.isReachable(now, l.Timing.Heartbeat)) {
 			gone = append(gone, instance)
 		}
 	}
 	return gone
 }
 
-func (l *Leader) lose(instance string) {
+func (l *Leader) loseInstance(instance string) {
 	var lost []cell.LostRun
 	o := newOperation(func(d *cell.Document) (bool, error) {
 		lost = d.LoseInstance(instance)
 		return len(lost) > 0, nil
 	})
-	o.after = func() {
+	o.onCommit = func() {
 		for _, loss := range lost {
-			l.Recorder.Record(timeline.TaskLost, subjectOf(loss.Run(), instance), "the platform says that the VM is gone")
+			l.Recorder.Record(timeline.TaskLost, subjectOf(loss.Run(), instance), "the VM is gone according to the platform")
 			if loss.GivenUp() {
-				l.Recorder.Record(timeline.TaskFailed, subjectOf(loss.Run(), instance), "run after run of the task was lost with its VM")
+				l.Recorder.Record(timeline.TaskFailed, subjectOf(loss.Run(), instance), "too many runs of the task in a row were lost with their VMs")
 			}
 		}
 	}
