--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -13,8 +13,8 @@
 
 var size = resource.New(1000, 100, 0)
 
-// placed returns a document with a job of two tasks, of which the first is placed.
-func placed(t *testing.T) (*Document, task.Run) {
+// placedDocument returns a document with a job of two tasks, the first of which is placed.
+func placedDocument(t *testing.T) (*Document, task.Run) {
 	t.Helper()
 	d := New()
 	d.TakeOver("agent")
@@ -24,8 +24,8 @@
 	return d, r
 }
 
-func TestAssignRefusesWhatDoesNotWait(t *testing.T) {
-	d, _ := placed(t)
+func TestAssignRejectsTasksThatDoNotWait(t *testing.T) {
+	d, _ := placedDocument(t)
 	for _, id := range []task.ID{task.NewID("job", 0), task.NewID("job", 2), task.NewID("other", 0)} {
 		_, err := d.Assign(id, "vm-2", size)
 		assert.Equal(t, fault.KindOf(err), fault.Conflict, id.String())
@@ -35,10 +35,10 @@
 	assert.Equal(t, fault.KindOf(err), fault.Conflict)
 }
 
-func TestReportIsTakenOnce(t *testing.T) {
+func TestReportIsAppliedOnce(t *testing.T) {
 	for _, state := range []task.State{task.Finished, task.Failed, task.Checkpointed, task.Stopped, task.Refused} {
 		t.Run(state.String(), func(t *testing.T) {
-			d, r := placed(t)
+			d, r := placedDocument(t)
 			assert.Assert(t, d.Report(NewReport(r, state, "ref"), 5))
 			assert.Assert(t, !d.Report(NewReport(r, state, "ref"), 5))
 			j, _ := d.Job("job")
@@ -47,16 +47,16 @@
 	}
 }
 
-func TestReportOfAnEarlierRunChangesNothing(t *testing.T) {
-	d, first := placed(t)
+func TestReportOfEarlierRunIsIgnored(t *testing.T) {
+	d, first := placedDocument(t)
 	d.Report(NewReport(first, task.Checkpointed, "ref"), 5)
 	second, err := d.Assign(first.ID(), "vm-2", size)
 	assert.NilError(t, err)
 	assert.Assert(t, second.Incarnation() > first.Incarnation())
 	assert.Assert(t, !d.Report(NewReport(first, task.Finished, ""), 5))
-	now, _ := d.Task(first.ID())
-	assert.Equal(t, now.Instance(), "vm-2")
-	assert.Equal(t, now.Checkpoint(), "ref")
+	current, _ := d.Task(first.ID())
+	assert.Equal(t, current.Instance(), "vm-2")
+	assert.Equal(t, current.Checkpoint(), "ref")
 }
 
 func TestJobEnds(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d, r := placed(t)
+			d, r := placedDocument(t)
 			other, err := d.Assign(task.NewID("job", 1), "vm-1", size)
 			assert.NilError(t, err)
 			d.Report(NewReport(r, c.states[0], ""), 1)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestReplicaThatComesBackStartsAnew(t *testing.T) {
+func TestRecreatedReplicaGetsNewIncarnation(t *testing.T) {
 	d := New()
 	d.Scale("lookups", 2)
 	first, err := d.Assign(task.NewID("lookups", 1), "vm-1", size)
@@ -95,8 +95,8 @@
 	assert.Assert(t, second.Incarnation() > first.Incarnation())
 }
 
-func TestCodecKeepsAll(t *testing.T) {
-	d, r := placed(t)
+func TestCodecRoundTrip(t *testing.T) {
+	d, r := placedDocument(t)
 	d.Report(NewReport(r, task.Checkpointed, "ref"), 5)
 	d.Scale("lookups", 3)
 	_, err := d.Assign(task.NewID("lookups", 1), "vm-3", size)
@@ -105,12 +105,12 @@
 	assert.NilError(t, d.Cancel("canceled"))
 	value, err := Encode(d)
 	assert.NilError(t, err)
-	back, err := Decode(value)
+	decoded, err := Decode(value)
 	assert.NilError(t, err)
-	again, err := Encode(back)
+	encodedAgain, err := Encode(decoded)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, value, again)
-	assert.Equal(t, back.PlacedOn("vm-3")[0], d.PlacedOn("vm-3")[0])
+	assert.DeepEqual(t, value, encodedAgain)
+	assert.Equal(t, decoded.PlacedOn("vm-3")[0], d.PlacedOn("vm-3")[0])
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/cell/change.go
+++ b/internal/cell/change.go
@@ -7,13 +7,13 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// TakeOver makes an agent the lead of a new epoch.
-func (d *Document) TakeOver(lead string) {
+// TakeOver makes an agent the leader of a new epoch.
+func (d *Document) TakeOver(agent string) {
 	d.epoch++
-	d.lead = lead
+	d.leader = agent
 }
 
-// Submit adds a job; a job that is there already, or has ended, stays as it is.
+// Submit adds a job unless the document has it already, ended or not.
 func (d *Document) Submit(job Job) {
 	if _, ok := d.Job(job.id); ok {
 		return
@@ -21,14 +21,14 @@
 	d.jobs[job.id] = &job
 }
 
-// Cancel ends a job: its waiting tasks are dropped, its placed ones stop and are dropped when they have.
+// Cancel cancels a job: its waiting tasks are removed, its placed tasks stop and are removed once they have stopped.
 func (d *Document) Cancel(id string) error {
 	j, ok := d.jobs[id]
 	if !ok {
 		if ended, found := d.Job(id); found && ended.canceled {
 			return nil
 		}
-		return fault.New(fault.NotFound, "there is no job %s that has not ended", id)
+		return fault.New(fault.NotFound, "there is no unfinished job %s", id)
 	}
 	j.canceled = true
 	for taskID, t := range d.tasks {
@@ -42,45 +42,45 @@
 
 // Assign places a waiting task on a VM instance with a size and returns the new run.
 //
-// The task must wait and its job must not be canceled, else the error is a Conflict.
+// It returns an error of kind Conflict unless the task waits and its job is not canceled.
 func (d *Document) Assign(id task.ID, instance string, size resource.Vector) (task.Run, error) {
 	t, ok := d.tasks[id]
 	if !ok {
-		created, err := d.materialize(id)
+		created, err := d.createTask(id)
 		if err != nil {
 			return task.Run{}, err
 		}
 		t = created
 	}
 	if t.IsPlaced() || d.isUnwanted(*t) {
-		return task.Run{}, fault.New(fault.Conflict, "task %s does not wait", id)
+		return task.Run{}, fault.New(fault.Conflict, "task %s is not waiting", id)
 	}
-	d.starts++
-	t.incarnation = d.starts
+	d.lastIncarnation++
+	t.incarnation = d.lastIncarnation
 	t.instance = instance
 	t.size = size
 	return t.Run(), nil
 }
 
-func (d *Document) materialize(id task.ID) (*Task, error) {
+func (d *Document) createTask(id task.ID) (*Task, error) {
 	j, ok := d.jobs[id.Job()]
-	if !ok || j.canceled || id.Index() != j.next || j.next >= j.tasks {
-		return nil, fault.New(fault.Conflict, "task %s does not wait", id)
+	if !ok || j.canceled || id.Index() != j.nextIndex || j.nextIndex >= j.tasks {
+		return nil, fault.New(fault.Conflict, "task %s is not waiting", id)
 	}
-	j.next++
+	j.nextIndex++
 	t := &Task{id: id, workload: j.workload}
 	d.tasks[id] = t
 	return t, nil
 }
 
-// Report is what an agent says of a run that has ended.
+// Report is an agent's report of an ended run.
 type Report struct {
 	run        task.Run
 	state      task.State
 	checkpoint string
 }
 
-// NewReport returns a report of a run that is in a final state.
+// NewReport returns a report of a run in a final state.
 func NewReport(run task.Run, state task.State, checkpoint string) Report {
 	return Report{run: run, state: state, checkpoint: checkpoint}
 }
@@ -94,9 +94,9 @@
 // Checkpoint returns the reference to resume from, empty for none.
 func (r Report) Checkpoint() string { return r.checkpoint }
 
-// Report takes note that a run has ended, and says whether that was news; a repeated or late report changes nothing.
+// Report records the end of a run and reports whether that changed the document; a repeated or late report does not.
 //
-// A task that fails attempts times is given up; with attempts of 0 or less it never is.
+// A task is given up after the given number of failed attempts; if that is 0 or less, it is never given up.
 func (d *Document) Report(r Report, attempts int) bool {
 	t, ok := d.tasks[r.run.ID()]
 	if !ok || t.incarnation != r.run.Incarnation() || !t.IsPlaced() || !r.state.IsFinal() {
@@ -107,20 +107,20 @@
 		t.checkpoint = r.checkpoint
 	}
 	if t.service {
-		d.replicaEnded(t)
+		d.endReplica(t)
 		return true
 	}
-	d.batchEnded(t, r.state, attempts)
+	d.endBatchTask(t, r.state, attempts)
 	return true
 }
 
-func (d *Document) replicaEnded(t *Task) {
+func (d *Document) endReplica(t *Task) {
 	if t.retired {
 		delete(d.tasks, t.id)
 	}
 }
 
-func (d *Document) batchEnded(t *Task, state task.State, attempts int) {
+func (d *Document) endBatchTask(t *Task, state task.State, attempts int) {
 	j, ok := d.jobs[t.id.Job()]
 	if !ok {
 		delete(d.tasks, t.id)
@@ -139,7 +139,7 @@
 	case task.Checkpointed:
 		t.evictions++
 		j.evictions++
-		// The task got on, and its VM outlived it.
+		// The task made progress, and its VM survived the run.
 		t.losses = crash.Losses{}
 	}
 	if j.canceled {
@@ -153,9 +153,9 @@
 		return
 	}
 	delete(d.jobs, j.id)
-	d.ended = append(d.ended, *j)
-	if len(d.ended) > EndedLimit {
-		d.ended = d.ended[len(d.ended)-EndedLimit:]
+	d.endedJobs = append(d.endedJobs, *j)
+	if len(d.endedJobs) > EndedLimit {
+		d.endedJobs = d.endedJobs[len(d.endedJobs)-EndedLimit:]
 	}
 }
 
@@ -177,11 +177,11 @@
 // Run returns the run.
 func (l LostRun) Run() task.Run { return l.run }
 
-// GivenUp reports whether the task does not start again.
+// GivenUp reports whether the task was given up and is not started again.
 func (l LostRun) GivenUp() bool { return l.givenUp }
 
-// LoseInstance takes note that a VM instance is gone for good: what it ran waits again, from the last checkpoint. A batch task of which run after
-// run is lost so is given up, or it would take along one VM after the other for ever.
+// LoseInstance records that a VM instance is gone: its tasks wait again, to resume from their latest checkpoints. A batch task that loses
+// too many runs in a row this way is given up, since it may be the cause and would take down one VM after another forever.
 func (d *Document) LoseInstance(instance string) []LostRun {
 	var lost []LostRun
 	for _, t := range d.Tasks() {
@@ -194,7 +194,7 @@
 	return lost
 }
 
-// countLoss counts a lost run of a batch task, and reports whether the task is given up for it.
+// countLoss counts a lost run of a batch task and reports whether the task is given up because of it.
 func (d *Document) countLoss(id task.ID) bool {
 	t, ok := d.tasks[id]
 	if !ok || t.service {
@@ -211,7 +211,7 @@
 	return true
 }
 
-// Scale gives a service a number of replicas in the cell; those above it retire.
+// Scale sets the number of replicas of a service in the cell; replicas beyond it retire.
 func (d *Document) Scale(workload string, replicas int) {
 	for i := range replicas {
 		id := task.NewID(workload, i)
@@ -232,7 +232,7 @@
 	}
 }
 
-// Replicas returns how many replicas of a service do not retire.
+// Replicas returns the number of replicas of a service that are not retired.
 func (d *Document) Replicas(workload string) int {
 	count := 0
 	for _, t := range d.tasks {
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -1,4 +1,4 @@
-// Package cell holds the document of a cell: its jobs, the tasks that were
-// placed, and the transitions between their states. All of it is pure; the
-// lead commits a changed document by one swap in the store.
+// Package cell defines the document of a cell: its jobs, its placed tasks and
+// the transitions between their states. It performs no I/O; the leader commits
+// a changed document with one swap in the store.
 package cell
--- a/internal/cell/document.go
+++ b/internal/cell/document.go
@@ -8,54 +8,54 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// EndedLimit is how many ended jobs a document remembers.
+// EndedLimit is the maximum number of ended jobs that a document keeps.
 const EndedLimit = 64
 
-// Document is what must last of a cell: it is swapped as a whole, so that each change is one step.
+// Document is the durable state of a cell. It is swapped as a whole, so that each change is atomic.
 type Document struct {
-	epoch uint64
-	lead  string
-	// starts is the highest incarnation given so far; a task that comes back under its old name gets none again.
-	starts task.Incarnation
-	jobs   map[string]*Job
-	tasks  map[task.ID]*Task
-	ended  []Job
+	epoch  uint64
+	leader string
+	// lastIncarnation is the highest incarnation assigned so far, so that a recreated task never reuses one.
+	lastIncarnation task.Incarnation
+	jobs            map[string]*Job
+	tasks           map[task.ID]*Task
+	endedJobs       []Job
 }
 
-// New returns the document of a cell that never had a lead.
+// New returns the document of a cell that never had a leader.
 func New() *Document {
 	return &Document{jobs: make(map[string]*Job), tasks: make(map[task.ID]*Task)}
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (d *Document) Clone() *Document {
-	c := &Document{
-		epoch: d.epoch, lead: d.lead, starts: d.starts, ended: slices.Clone(d.ended),
+	clone := &Document{
+		epoch: d.epoch, leader: d.leader, lastIncarnation: d.lastIncarnation, endedJobs: slices.Clone(d.endedJobs),
 		jobs: make(map[string]*Job, len(d.jobs)), tasks: make(map[task.ID]*Task, len(d.tasks)),
 	}
 	for id, j := range d.jobs {
 		copied := *j
-		c.jobs[id] = &copied
+		clone.jobs[id] = &copied
 	}
 	for id, t := range d.tasks {
 		copied := *t
-		c.tasks[id] = &copied
+		clone.tasks[id] = &copied
 	}
-	return c
+	return clone
 }
 
 // Epoch returns the number of takeovers so far.
 func (d *Document) Epoch() uint64 { return d.epoch }
 
-// Leader returns the agent that took over last.
-func (d *Document) Leader() string { return d.lead }
+// Leader returns the agent that took over most recently.
+func (d *Document) Leader() string { return d.leader }
 
-// Job returns a job, also one that ended not long ago.
+// Job returns a job, which may be one of the kept ended jobs.
 func (d *Document) Job(id string) (Job, bool) {
 	if j, ok := d.jobs[id]; ok {
 		return *j, true
 	}
-	for _, j := range d.ended {
+	for _, j := range d.endedJobs {
 		if j.id == id {
 			return j, true
 		}
@@ -63,7 +63,7 @@
 	return Job{}, false
 }
 
-// Jobs returns the jobs that have not ended, ordered by identifier and so by submission.
+// Jobs returns the jobs that have not ended, ordered by identifier and therefore by submission.
 func (d *Document) Jobs() []Job {
 	jobs := make([]Job, 0, len(d.jobs))
 	for _, id := range slices.Sorted(maps.Keys(d.jobs)) {
@@ -72,10 +72,10 @@
 	return jobs
 }
 
-// EndedJobs returns the ended jobs that are remembered, oldest first.
-func (d *Document) EndedJobs() []Job { return d.ended }
+// EndedJobs returns the kept ended jobs, oldest first.
+func (d *Document) EndedJobs() []Job { return d.endedJobs }
 
-// Task returns a task that was placed or is a replica.
+// Task returns a task if it was placed at least once or is a replica.
 func (d *Document) Task(id task.ID) (Task, bool) {
 	t, ok := d.tasks[id]
 	if !ok {
@@ -84,7 +84,7 @@
 	return *t, true
 }
 
-// Tasks returns the tasks that were placed and the replicas, ordered by name.
+// Tasks returns the replicas and the tasks that were placed at least once, ordered by identifier.
 func (d *Document) Tasks() []Task {
 	tasks := make([]Task, 0, len(d.tasks))
 	for _, t := range d.tasks {
@@ -99,7 +99,7 @@
 	return tasks
 }
 
-// PlacedOn returns the tasks that a VM instance is to run, ordered by name.
+// PlacedOn returns the tasks that a VM instance should run, ordered by identifier.
 func (d *Document) PlacedOn(instance string) []Task {
 	var placed []Task
 	for _, t := range d.Tasks() {
--- a/internal/cell/losses_test.go
+++ b/internal/cell/losses_test.go
@@ -11,12 +11,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// mostRuns bounds how often a task may start that takes its VM along each time.
-const mostRuns = 5
+// maxStarts is how often a task may start whose VM is lost each time.
+const maxStarts = 5
 
-// loseRuns places a task and loses its VM so many times, with the document through the store each time, and returns how many times it was
-// placed.
-func loseRuns(t *testing.T, d *Document, id task.ID, times int) (*Document, int) {
+// loseRepeatedly places a task and loses its VM the given number of times, encoding and decoding the document each time, and returns how
+// often the task was placed.
+func loseRepeatedly(t *testing.T, d *Document, id task.ID, times int) (*Document, int) {
 	t.Helper()
 	for n := range times {
 		vm := fmt.Sprintf("lost-%d", n)
@@ -32,16 +32,15 @@
 	return d, times
 }
 
-// TestTaskThatTakesItsVMsAlongIsGivenUp plays what operators saw: a job ran for ever, and one VM after the other was lost under it.
+// TestTaskWhoseVMsAreLostIsGivenUp guards against a job that ran forever while one VM after another was lost under it.
 //
-// Order of events: a task is placed, its VM goes down with it and is called gone, the task waits again and is placed on the next.
-//
-// Cause: the end of a VM was nobody's failure; the task was placed forty times of forty.
-func TestTaskThatTakesItsVMsAlongIsGivenUp(t *testing.T) {
+// Each time, the task is placed, takes its VM down, waits again once the VM is listed as gone, and is placed on the next VM. The loss of
+// a VM was not counted against the task, which was placed 40 times out of 40.
+func TestTaskWhoseVMsAreLostIsGivenUp(t *testing.T) {
 	d := New()
 	d.Submit(NewJob("job", "mailing", "", 2, time.Unix(1, 0)))
-	d, runs := loseRuns(t, d, task.NewID("job", 0), 40)
-	assert.Equal(t, runs, mostRuns)
+	d, runs := loseRepeatedly(t, d, task.NewID("job", 0), 40)
+	assert.Equal(t, runs, maxStarts)
 	j, _ := d.Job("job")
 	assert.Equal(t, j.Failed(), 1)
 	assert.Equal(t, j.State(), JobRunning)
@@ -52,25 +51,25 @@
 	assert.Equal(t, j.State(), JobFailed)
 }
 
-// TestTaskThatGotOnMayLoseItsVMsAnew: it was evicted with its progress from a VM that outlived it.
-func TestTaskThatGotOnMayLoseItsVMsAnew(t *testing.T) {
-	d, r := placed(t)
+// TestCheckpointResetsLosses covers a task that was evicted with a checkpoint from a VM that survived the run.
+func TestCheckpointResetsLosses(t *testing.T) {
+	d, r := placedDocument(t)
 	d.LoseInstance("vm-1")
-	d, runs := loseRuns(t, d, r.ID(), mostRuns-2)
-	assert.Equal(t, runs, mostRuns-2)
-	again, err := d.Assign(r.ID(), "vm-2", size)
+	d, runs := loseRepeatedly(t, d, r.ID(), maxStarts-2)
+	assert.Equal(t, runs, maxStarts-2)
+	restarted, err := d.Assign(r.ID(), "vm-2", size)
 	assert.NilError(t, err)
-	assert.Assert(t, d.Report(NewReport(again, task.Checkpointed, "ref"), 3))
-	_, runs = loseRuns(t, d, r.ID(), 40)
-	assert.Equal(t, runs, mostRuns)
+	assert.Assert(t, d.Report(NewReport(restarted, task.Checkpointed, "ref"), 3))
+	_, runs = loseRepeatedly(t, d, r.ID(), 40)
+	assert.Equal(t, runs, maxStarts)
 }
 
-// TestReplicasAreNeverGivenUp, since a service is to run whatever happens to its VMs.
+// TestReplicasAreNeverGivenUp checks that lost VMs never end a replica, since a service must keep running.
 func TestReplicasAreNeverGivenUp(t *testing.T) {
 	d := New()
 	d.Scale("lookups", 1)
-	d, runs := loseRuns(t, d, task.NewID("lookups", 0), 40)
+	d, runs := loseRepeatedly(t, d, task.NewID("lookups", 0), 40)
 	assert.Equal(t, runs, 40)
 	replica, _ := d.Task(task.NewID("lookups", 0))
-	assert.Equal(t, replica.Losses(), crash.Losses{}, "nothing is counted that nothing follows from")
+	assert.Equal(t, replica.Losses(), crash.Losses{}, "losses of replicas are not counted")
 }
--- a/internal/cell/task.go
+++ b/internal/cell/task.go
@@ -21,7 +21,7 @@
 	losses      crash.Losses
 }
 
-// ID returns the name of the task.
+// ID returns the identifier of the task.
 func (t Task) ID() task.ID { return t.id }
 
 // Workload returns the workload of the task.
@@ -30,13 +30,13 @@
 // IsService reports whether the task is a replica of a service.
 func (t Task) IsService() bool { return t.service }
 
-// IsRetired reports whether the replica is to stop for good.
+// IsRetired reports whether the replica must stop and not be placed again.
 func (t Task) IsRetired() bool { return t.retired }
 
-// Incarnation returns the latest start of the task, 0 for none.
+// Incarnation returns the incarnation of the latest start, 0 for none.
 func (t Task) Incarnation() task.Incarnation { return t.incarnation }
 
-// Run returns the latest start of the task.
+// Run returns the latest run of the task.
 func (t Task) Run() task.Run { return task.NewRun(t.id, t.incarnation) }
 
 // Instance returns the VM instance that the task is placed on, empty while it waits.
@@ -45,7 +45,7 @@
 // IsPlaced reports whether the task is placed on a VM.
 func (t Task) IsPlaced() bool { return t.instance != "" }
 
-// Size returns what the latest start was given of its VM.
+// Size returns the VM resources allocated to the latest run.
 func (t Task) Size() resource.Vector { return t.size }
 
 // Checkpoint returns the reference to resume from, empty for none.
@@ -54,7 +54,7 @@
 // Failures returns how often the task has failed.
 func (t Task) Failures() int { return t.failures }
 
-// Losses returns its runs that were lost with their VMs on end.
+// Losses returns the runs in a row that were lost with their VMs.
 func (t Task) Losses() crash.Losses { return t.losses }
 
 // Evictions returns how often the task was evicted.
