--- a/internal/cell/change.go
+++ b/internal/cell/change.go
@@ -180,8 +180,8 @@
 // GivenUp reports whether the task was given up and is not started again.
 func (l LostRun) GivenUp() bool { return l.givenUp }
 
-// LoseInstance records that a VM instance is gone: its tasks wait again, to resume from their latest checkpoints. A batch task that loses
-// too many runs in a row this way is given up, since it may be the cause and would take down one VM after another forever.
+// LoseInstance records that a VM instance is permanently gone: its tasks wait again, to resume from their latest checkpoints. A batch task
+// that loses too many runs in a row this way is given up, since it may be the cause and would take down one VM after another forever.
 func (d *Document) LoseInstance(instance string) []LostRun {
 	var lost []LostRun
 	for _, t := range d.Tasks() {
--- a/internal/job/advance.go
+++ b/internal/job/advance.go
@@ -13,7 +13,7 @@
 	return run
 }
 
-// Rehost moves a placed run to another host in the records and reports whether the run was placed.
+// Rehost records another host for a placed run and reports whether the run was placed.
 func (j *Job) Rehost(t TaskID, run int, host Host) bool {
 	task := j.Task(t)
 	if task == nil || task.phase != Placed || task.run != run {
--- a/internal/job/crashes.go
+++ b/internal/job/crashes.go
@@ -7,7 +7,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/crash"
 )
 
-// CrashUnit returns the task that crashes and losses are counted for: the first member of a gang, since all members end together, else the task itself.
+// CrashUnit returns the task that crashes and losses are counted for: the first member of a gang, since all its members end together,
+// else the task itself.
 func (j *Job) CrashUnit(t TaskID) TaskID {
 	if j.spec.Steps[t.Step].Gang {
 		t.Index = 0
@@ -16,7 +17,8 @@
 }
 
 // RecordCrash adds the attribution of a worker crash to the task of a run, once for each run, and reports whether anything changed.
-// The count is stored with the job: kept in one process, it would restart at zero with each new leader for tasks that crash workers.
+// The count is stored with the job: a count in the memory of one leader would let a task that crashes workers start over with each new
+// leader.
 func (j *Job) RecordCrash(t TaskID, run int, finding crash.Finding) bool {
 	task := j.Task(t)
 	if task == nil || j.State().IsFinal() || task.phase == Done || run > task.run || finding.Attribution() == crash.NotCause {
@@ -53,7 +55,7 @@
 	return true
 }
 
-// ResolveLoss records whether the worker of a lost run, which was unreachable, has crashed, and reports whether anything changed.
+// ResolveLoss records whether the unreachable worker of a lost run has crashed, and reports whether anything changed.
 func (j *Job) ResolveLoss(t TaskID, run int, crashed bool) bool {
 	task := j.Task(t)
 	if task == nil || j.State().IsFinal() || task.phase == Done {
@@ -75,7 +77,7 @@
 	j.failed = j.failed || losses.Exhausted()
 }
 
-// RecordRunAge records that a run has reached an age, and reports whether that reduced the crash history of its task.
+// RecordRunAge records that a run has reached an age, and reports whether that cleared part of its task's crash history.
 func (j *Job) RecordRunAge(t TaskID, run int, age time.Duration) bool {
 	task := j.Task(t)
 	if task == nil || task.run != run || task.phase != Placed {
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -69,7 +69,7 @@
 	return r, nil
 }
 
-// commit enqueues an operation and waits for its commit; if the wait ends before, the outcome is unknown.
+// commit enqueues an operation and waits for its commit; if ctx or the leader ends before, the outcome is unknown.
 func (l *Leader) commit(ctx context.Context, o *operation) error {
 	l.enqueue(o)
 	select {
