--- a/internal/runner/candidates.go
+++ b/internal/runner/candidates.go
@@ -11,8 +11,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// mostEnded is how many ended incarnations an agent remembers; a report is held up for seconds, an incarnation lasts longer.
-const mostEnded = 16
+// maxEnded is how many ended incarnations an agent remembers; a report is held up for seconds, an incarnation lasts longer.
+const maxEnded = 16
 
 // endedIncarnations are the latest incarnations of the worker that have ended; none of them returns.
 type endedIncarnations []incarnation.ID
@@ -28,16 +28,16 @@
 // add marks an incarnation as ended.
 func (e *endedIncarnations) add(id incarnation.ID) {
 	*e = append(*e, id)
-	if extra := len(*e) - mostEnded; extra > 0 {
+	if extra := len(*e) - maxEnded; extra > 0 {
 		*e = slices.Delete(*e, 0, extra)
 	}
 }
 
-// mostCandidates bounds the candidates that wait: each takes one call, and one that is left out reports again within about a second.
-const mostCandidates = 16
+// maxCandidates bounds the candidates that wait: each takes one call, and one that is left out reports again within about a second.
+const maxCandidates = 16
 
-// candidate returns the candidate of an incarnation, nil where there is none.
-func (r *Runner) candidate(id incarnation.ID) *workerState {
+// findCandidate returns the findCandidate of an incarnation, nil where there is none.
+func (r *Runner) findCandidate(id incarnation.ID) *workerState {
 	for _, c := range r.candidates {
 		if c.id == id {
 			return c
@@ -46,30 +46,30 @@
 	return nil
 }
 
-// nominate adds an incarnation that reports itself beside the present one. Reports may have been held up until their sender was gone, so the
+// addCandidate adds an incarnation that reports itself beside the present one. Reports may have been held up until their sender was gone, so the
 // worker is asked which of the two it is.
-func (r *Runner) nominate(report host.Report, now time.Time) {
-	if c := r.candidate(report.Incarnation); c != nil {
-		c.renew(report)
+func (r *Runner) addCandidate(report host.Report, now time.Time) {
+	if c := r.findCandidate(report.Incarnation); c != nil {
+		c.updateReport(report)
 		return
 	}
-	if len(r.candidates) == mostCandidates {
+	if len(r.candidates) == maxCandidates {
 		return
 	}
 	r.logger.Info("another incarnation of the worker reports; instance=%s present=%s", report.Incarnation, r.worker.id)
 	r.candidates = append(r.candidates, newWorkerState(report, now))
-	r.doubtIncarnation()
-	wait.Notify(r.nominated)
+	r.raiseFence()
+	wait.Notify(r.candidateAdded)
 }
 
-// verify asks the worker which incarnation it is whenever another than the present one reports.
-func (r *Runner) verify(ctx context.Context) error {
+// verifyCandidates asks the worker which incarnation it is whenever another than the present one reports.
+func (r *Runner) verifyCandidates(ctx context.Context) error {
 	for ctx.Err() == nil {
 		candidate, hold := r.nextCandidate()
 		if candidate == nil {
 			select {
 			case <-ctx.Done():
-			case <-r.nominated:
+			case <-r.candidateAdded:
 			}
 			continue
 		}
@@ -77,10 +77,10 @@
 		undecided := err != nil && !fault.Is(err, fault.Stale) || err == nil && refusal != host.Accepted
 		if undecided {
 			// A refusal says nothing of the incarnation: another call may have shown a higher fence meanwhile.
-			r.awaitContact(ctx)
+			r.awaitRetry(ctx)
 			continue
 		}
-		r.decide(candidate, err == nil && view.Incarnation == candidate.id, hold.Fence, view)
+		r.resolveCandidate(candidate, err == nil && view.Incarnation == candidate.id, hold.Fence, view)
 	}
 	return ctx.Err()
 }
@@ -92,54 +92,54 @@
 	if len(r.candidates) == 0 {
 		return nil, host.Renewal{}
 	}
-	return r.candidates[0], host.Renewal{Fence: r.fences.present}
+	return r.candidates[0], host.Renewal{Fence: r.fences.current}
 }
 
-// decide replaces the present incarnation by a candidate that answered, or drops the candidate. Each is decided by its own answer, so that
+// resolveCandidate replaces the present incarnation by a candidate that answered, or drops the candidate. Each is decided by its own answer, so that
 // reports of unknown senders, however many, do not hold the true one up.
-func (r *Runner) decide(candidate *workerState, answered bool, fence uint64, view host.View) {
+func (r *Runner) resolveCandidate(candidate *workerState, answered bool, fence uint64, view host.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.candidates = slices.DeleteFunc(r.candidates, func(c *workerState) bool { return c == candidate })
 	if answered {
-		r.fences.answered(fence)
+		r.fences.recordAnswer(fence)
 		r.logFirstAnswer(candidate.id)
-		r.logFound(view)
-		r.worker.recordNext(view)
-		r.replace(candidate)
+		r.logUnexpectedRuns(view)
+		r.worker.recordNextRuns(view)
+		r.replaceWorker(candidate)
 		return
 	}
 	r.logger.Warn("report of another incarnation is ignored; instance=%s present=%s", candidate.id, r.worker.id)
 	r.ended.add(candidate.id)
 }
 
-// replace makes an incarnation the present one. Nothing that is known of the one before holds for it.
-func (r *Runner) replace(next *workerState) {
+// replaceWorker makes an incarnation the present one. Nothing that is known of the one before holds for it.
+func (r *Runner) replaceWorker(next *workerState) {
 	now := time.Now()
 	r.logger.Info("worker has a new incarnation; instance=%s previous=%s", next.id, r.worker.id)
-	r.returns = r.returns || next.id.SameWorker(r.worker.id) || r.ended.hasWorker(next.id)
+	r.idReused = r.idReused || next.id.SameWorker(r.worker.id) || r.ended.hasWorker(next.id)
 	r.recordEnd(r.worker)
 	r.ended.add(r.worker.id)
-	r.recordUnderWay(r.worker, now)
-	r.worker.drop()
+	r.recordPendingStarts(r.worker, now)
+	r.worker.cancelOrders()
 	if next.id.SameWorker(r.worker.id) {
 		// A call meant for the one before may have set its lease, by a time of another clock.
-		next.until = now.Add(r.config.LongestHold)
+		next.leaseEnd = now.Add(r.config.LongestHold)
 	}
 	r.worker = next
-	for _, run := range r.lateRuns(next.id, now) {
+	for _, run := range r.lateStartRuns(next.id, now) {
 		r.logger.Info("late start of an earlier incarnation is stopped; task=%s run=%d instance=%s", run.Task, run.Number, next.id)
-		r.end(next, run)
+		r.stopRun(next, run)
 	}
 	wait.Notify(r.heartbeat)
-	wait.Notify(r.changed)
+	wait.Notify(r.reportDue)
 }
 
-// recordUnderWay records the starts that are under way on an incarnation that has ended.
-func (r *Runner) recordUnderWay(w *workerState, now time.Time) {
+// recordPendingStarts records the starts that are under way on an incarnation that has ended.
+func (r *Runner) recordPendingStarts(w *workerState, now time.Time) {
 	for run, o := range w.orders {
 		if o.start != nil && !o.final {
-			r.recordLate(w.id, run, now)
+			r.recordLateStart(w.id, run, now)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	if !w.terminated {
 		r.logger.Warn("worker incarnation ended; instance=%s same_id=%t", w.id, sameID)
 		r.recordEnd(w)
-		wait.Notify(r.changed)
+		wait.Notify(r.reportDue)
 	}
-	w.terminated, w.silent, w.gone = true, true, w.gone || !sameID
+	w.terminated, w.silent, w.idChanged = true, true, w.idChanged || !sameID
 }
--- a/internal/runner/candidates_test.go
+++ b/internal/runner/candidates_test.go
@@ -16,24 +16,24 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// held lets an agent hold its worker and find out which life is there, until the test ends.
-func held(t *testing.T, r *Runner) {
+// startLoops lets an agent hold its worker and find out which life is there, until the test ends.
+func startLoops(t *testing.T, r *Runner) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = r.renewLoop(ctx) }()
-	go func() { _ = r.verify(ctx) }()
+	go func() { _ = r.verifyCandidates(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestReportHeldUpByACutBringsNoEarlierLifeBack failed with i-1 in place of i-2: whichever life reported last was taken to be there.
-func TestReportHeldUpByACutBringsNoEarlierLifeBack(t *testing.T) {
+// TestDelayedReportDoesNotRestorePreviousIncarnation failed with i-1 in place of i-2: whichever life reported last was taken to be there.
+func TestDelayedReportDoesNotRestorePreviousIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{present: testID}
+		worker := &fakeWorker{current: testID}
 		r := newTest(worker)
-		held(t, r)
+		startLoops(t, r)
 		worker.restart(incarnation.New("i-2", 0))
 		r.Reported(host.Report{Incarnation: incarnation.New("i-2", 0), Sequence: 1})
 		time.Sleep(time.Second)
@@ -47,12 +47,12 @@
 	})
 }
 
-// TestReportOfALifeNeverHeardOfIsAskedFor failed as above: an agent that started after the crash had not heard of i-1 before.
-func TestReportOfALifeNeverHeardOfIsAskedFor(t *testing.T) {
+// TestReportOfUnknownIncarnationIsVerified failed as above: an agent that started after the crash had not heard of i-1 before.
+func TestReportOfUnknownIncarnationIsVerified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{present: testID}
+		worker := &fakeWorker{current: testID}
 		r := newTest(worker)
-		held(t, r)
+		startLoops(t, r)
 		r.Reported(host.Report{Incarnation: incarnation.New("i-0", 0), Sequence: 9})
 		time.Sleep(time.Second)
 		report, _ := r.compose()
@@ -61,12 +61,12 @@
 	})
 }
 
-// TestFirstReportMayBeTheStaleOne: the life that is there takes its place as soon as it reports.
-func TestFirstReportMayBeTheStaleOne(t *testing.T) {
+// TestFirstReportMayBeOfEndedIncarnation: the life that is there takes its place as soon as it reports.
+func TestFirstReportMayBeOfEndedIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{present: incarnation.New("i-2", 0)}
+		worker := &fakeWorker{current: incarnation.New("i-2", 0)}
 		r := newTest(worker)
-		held(t, r)
+		startLoops(t, r)
 		time.Sleep(time.Second)
 		report, _ := r.compose()
 		assert.Assert(t, report.Lapsed, "what ran in a life that is over is gone")
@@ -80,46 +80,46 @@
 
 func TestEndedIncarnationsAreBounded(t *testing.T) {
 	var ended endedIncarnations
-	for range 3 * mostEnded {
+	for range 3 * maxEnded {
 		ended.add(testID)
 	}
-	assert.Equal(t, len(ended), mostEnded)
+	assert.Equal(t, len(ended), maxEnded)
 }
 
-// TestWorkerSeesANewFenceBesideTheHoldThatWaits failed with reports that a new lead could not use for up to half a second.
-func TestWorkerSeesANewFenceBesideTheHoldThatWaits(t *testing.T) {
+// TestNewFenceIsSentDuringAWaitingRenewal failed with reports that a new lead could not use for up to half a second.
+func TestNewFenceIsSentDuringAWaitingRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{present: testID})
-		held(t, r)
-		time.Sleep(holdWait / 4)
-		assert.NilError(t, r.adopt(nil, record.Leader{Epoch: 4}))
+		r := newTest(&fakeWorker{current: testID})
+		startLoops(t, r)
+		time.Sleep(renewalWait / 4)
+		assert.NilError(t, r.adoptLeader(nil, record.Leader{Epoch: 4}))
 		assert.Assert(t, r.fences.grant(4, 0, 0))
 		report, _ := r.compose()
 		assert.Assert(t, !report.Fenced)
-		r.fence(t.Context())
+		r.sendFence(t.Context())
 		report, _ = r.compose()
 		assert.Assert(t, report.Fenced)
 	})
 }
 
-// TestViewThatWasOvertakenIsLeft failed with the runs of the older view.
-func TestViewThatWasOvertakenIsLeft(t *testing.T) {
+// TestOutdatedViewIsIgnored failed with the runs of the older view.
+func TestOutdatedViewIsIgnored(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	newer := host.View{Clock: host.Clock(2 * time.Second), Running: []host.Running{{Run: testRun(2)}}}
-	r.held(t.Context(), testID, host.Renewal{}, newer)
-	r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Second), Running: []host.Running{{Run: testRun(1)}}})
+	r.recordRenewal(t.Context(), testID, host.Renewal{}, newer)
+	r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Second), Running: []host.Running{{Run: testRun(1)}}})
 	report, _ := r.compose()
 	assert.Equal(t, len(report.Running), 1)
 	assert.Equal(t, report.Running[0].Number, 2)
 }
 
-// TestStrangersDoNotHoldUpTheLifeThatIsThere: claims came in one place, where the next one took the place of the true one before
+// TestUnknownSendersDoNotDelayNextIncarnation: claims came in one place, where the next one took the place of the true one before
 // the worker was asked; it was decided only if nobody else claimed meanwhile.
-func TestStrangersDoNotHoldUpTheLifeThatIsThere(t *testing.T) {
+func TestUnknownSendersDoNotDelayNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{present: testID, slow: 20 * time.Millisecond}
+		worker := &fakeWorker{current: testID, refusalDelay: 20 * time.Millisecond}
 		r := newTest(worker)
-		held(t, r)
+		startLoops(t, r)
 		worker.restart(incarnation.New("i-2", 0))
 		for n := range 200 {
 			if n%100 == 50 {
@@ -134,8 +134,8 @@
 	})
 }
 
-// TestReportOfAnotherServiceChangesNothing of the life under whose name it comes, and is not acknowledged.
-func TestReportOfAnotherServiceChangesNothing(t *testing.T) {
+// TestReportOfAnotherServiceIsIgnored of the life under whose name it comes, and is not acknowledged.
+func TestReportOfAnotherServiceIsIgnored(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	before := r.worker.report
 	assert.Assert(t, !r.Reported(host.Report{Incarnation: testID, Service: "other", Sequence: 9, Draining: true}))
@@ -143,48 +143,48 @@
 	assert.Assert(t, r.Reported(host.Report{Incarnation: testID, Service: "s", Sequence: 2, Capacity: before.Capacity}))
 }
 
-// TestClaimsAreBounded: those that are left out come again with the next report.
-func TestClaimsAreBounded(t *testing.T) {
+// TestCandidatesAreBounded: those that are left out come again with the next report.
+func TestCandidatesAreBounded(t *testing.T) {
 	r := newTest(&fakeWorker{})
-	for n := range 3 * mostCandidates {
+	for n := range 3 * maxCandidates {
 		r.Reported(host.Report{Incarnation: incarnation.New(fmt.Sprint(n), 0), Service: "s"})
 	}
-	assert.Equal(t, len(r.candidates), mostCandidates)
+	assert.Equal(t, len(r.candidates), maxCandidates)
 }
 
-// TestStrangersReportThatComesFirstGivesWay once the lead says that no configuration names its service, with all that it told: its sequence
+// TestFirstReportOfUnknownServiceIsReplaced once the lead says that no configuration names its service, with all that it told: its sequence
 // is no bound for the worker's own, nor does it drain for good.
-func TestStrangersReportThatComesFirstGivesWay(t *testing.T) {
+func TestFirstReportOfUnknownServiceIsReplaced(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	r.worker = newWorkerState(host.Report{Incarnation: testID, Service: "other", Sequence: 4000, Draining: true}, time.Now())
 	own := host.Report{Incarnation: testID, Service: "s", Sequence: 2, Capacity: job.Size{CPU: 8000, Memory: 16000}}
 	assert.Assert(t, !r.Reported(own), "either may be true")
-	r.worker.learn(link.Report{Service: "s"}, link.ReportAnswer{UnknownService: true})
+	r.worker.applyAnswer(link.Report{Service: "s"}, link.ReportAnswer{UnknownService: true})
 	assert.Assert(t, !r.Reported(own), "the lead spoke of another report")
-	r.worker.learn(link.Report{Service: "other"}, link.ReportAnswer{UnknownService: true})
+	r.worker.applyAnswer(link.Report{Service: "other"}, link.ReportAnswer{UnknownService: true})
 	assert.Assert(t, r.Reported(own))
 	assert.DeepEqual(t, r.worker.report, own, sameIncarnation)
 	assert.Assert(t, !r.Reported(host.Report{Incarnation: testID, Service: "other", Sequence: 4001}))
 }
 
-// TestRefusedCallDecidesNothingOfACandidate plays a passage of the restart checker: a task neither ran nor was done, since an agent ignored its worker
+// TestRefusedCallDoesNotResolveCandidate plays a passage of the restart checker: a task neither ran nor was done, since an agent ignored its worker
 // for as long as that lived.
 //
 // Order of events: the next incarnation reports; it refuses the call by which the agent asks for it, since another call has shown a higher fence
 // meanwhile, or since it is not well yet. Cause: a refusal counted as the answer of another incarnation, and what was refused counted as ended.
 // Evidence: "report of another incarnation is ignored" of the incarnation that was there, then "report of an ended incarnation" until the end.
-func TestRefusedCallDecidesNothingOfACandidate(t *testing.T) {
+func TestRefusedCallDoesNotResolveCandidate(t *testing.T) {
 	for _, refusal := range []host.Refusal{host.RefusedFence, host.RefusedBusy} {
 		t.Run(refusal.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worker := &fakeWorker{present: secondBirth, refusals: []host.Refusal{refusal, refusal}}
+				worker := &fakeWorker{current: secondIncarnation, refusals: []host.Refusal{refusal, refusal}}
 				r := newTest(worker)
-				r.worker = newWorkerState(reportFrom(firstBirth, 1), time.Now())
-				r.Reported(reportFrom(secondBirth, 1))
+				r.worker = newWorkerState(reportFrom(firstIncarnation, 1), time.Now())
+				r.Reported(reportFrom(secondIncarnation, 1))
 				ctx, cancel := context.WithCancel(t.Context())
-				go func() { _ = r.verify(ctx) }()
+				go func() { _ = r.verifyCandidates(ctx) }()
 				time.Sleep(time.Second)
-				assert.Equal(t, r.worker.id, secondBirth)
+				assert.Equal(t, r.worker.id, secondIncarnation)
 				cancel()
 				synctest.Wait()
 			})
--- a/internal/runner/capacity_test.go
+++ b/internal/runner/capacity_test.go
@@ -11,8 +11,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// asking returns orders to start the next runs of the test's task, each of a size.
-func asking(size job.Size, fills bool, numbers ...int) link.Orders {
+// ordersOfSize returns orders to start the next runs of the test's task, each of a size.
+func ordersOfSize(size job.Size, fills bool, numbers ...int) link.Orders {
 	orders := link.Orders{Epoch: 3, Instance: "i-1"}
 	for _, n := range numbers {
 		id := testTask
@@ -35,22 +35,22 @@
 	return found
 }
 
-// shrink lets the worker say that it has another room now.
-func shrink(r *Runner, room job.Size) {
+// setCapacity lets the worker say that it has another room now.
+func setCapacity(r *Runner, room job.Size) {
 	next := r.worker.report
 	next.Sequence++
 	next.Capacity = room
 	r.Reported(next)
 }
 
-// TestStartBeyondARoomThatHasShrunkIsRefused failed with all three starts on a worker that does not guard its room: the lead had
+// TestStartBeyondReducedCapacityIsRefused failed with all three starts on a worker that does not guard its room: the lead had
 // planned them by the room that it was told of before.
-func TestStartBeyondARoomThatHasShrunkIsRefused(t *testing.T) {
+func TestStartBeyondReducedCapacityIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		shrink(r, job.Size{CPU: 2500, Memory: 1000})
-		_, err := r.takeOrders(t.Context(), nil, asking(job.Size{CPU: 1000, Memory: 100}, false, 0, 1, 2))
+		setCapacity(r, job.Size{CPU: 2500, Memory: 1000})
+		_, err := r.handleOrders(t.Context(), nil, ordersOfSize(job.Size{CPU: 1000, Memory: 100}, false, 0, 1, 2))
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 2)
@@ -58,35 +58,35 @@
 	})
 }
 
-// TestWhatIsBeingStoppedStillTakesRoom until the worker lists its end.
-func TestWhatIsBeingStoppedStillTakesRoom(t *testing.T) {
+// TestStoppingRunStillTakesCapacity until the worker lists its end.
+func TestStoppingRunStillTakesCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
 		size := job.Size{CPU: 3000, Memory: 100}
-		_, err := r.takeOrders(t.Context(), nil, asking(size, false, 0))
+		_, err := r.handleOrders(t.Context(), nil, ordersOfSize(size, false, 0))
 		assert.NilError(t, err)
 		synctest.Wait()
 		first := host.Run{Task: testTask, Number: 1}
-		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: first}}})
-		_, err = r.takeOrders(t.Context(), nil, asking(size, false, 1))
+		r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: first}}})
+		_, err = r.handleOrders(t.Context(), nil, ordersOfSize(size, false, 1))
 		assert.NilError(t, err)
 		assert.DeepEqual(t, refusals(r), map[int]host.Refusal{1: host.RefusedCapacity})
-		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 2, Ended: []host.EndedRun{{Run: first, Sequence: 1}}})
-		_, err = r.takeOrders(t.Context(), nil, asking(size, false, 2))
+		r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: 2, Ended: []host.EndedRun{{Run: first, Sequence: 1}}})
+		_, err = r.handleOrders(t.Context(), nil, ordersOfSize(size, false, 2))
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 2, "its end is listed")
 	})
 }
 
-// TestWhatFillsTakesNoProcessors of a room that has shrunk, but memory.
-func TestWhatFillsTakesNoProcessors(t *testing.T) {
+// TestBestEffortTaskReservesNoProcessors of a room that has shrunk, but memory.
+func TestBestEffortTaskReservesNoProcessors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		shrink(r, job.Size{CPU: 100, Memory: 250})
-		_, err := r.takeOrders(t.Context(), nil, asking(job.Size{CPU: 3000, Memory: 100}, true, 0, 1, 2))
+		setCapacity(r, job.Size{CPU: 100, Memory: 250})
+		_, err := r.handleOrders(t.Context(), nil, ordersOfSize(job.Size{CPU: 3000, Memory: 100}, true, 0, 1, 2))
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 2)
@@ -94,16 +94,16 @@
 	})
 }
 
-// TestRoomThatHasGrownAgainIsFilledAtOnce: the lead hears of it with the next report, which does not wait.
-func TestRoomThatHasGrownAgainIsFilledAtOnce(t *testing.T) {
+// TestCapacityChangeIsReportedAtOnce: the lead hears of it with the next report, which does not wait.
+func TestCapacityChangeIsReportedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
+		r := newTest(&fakeWorker{answerStart: accept})
 		for _, room := range []job.Size{{CPU: 1000, Memory: 100}, {CPU: 4000, Memory: 1000}} {
-			for len(r.changed) > 0 {
-				<-r.changed
+			for len(r.reportDue) > 0 {
+				<-r.reportDue
 			}
-			shrink(r, room)
-			assert.Equal(t, len(r.changed), 1)
+			setCapacity(r, room)
+			assert.Equal(t, len(r.reportDue), 1)
 			report, _ := r.compose()
 			assert.Equal(t, report.CPU, room.CPU)
 		}
--- a/internal/runner/diagnostics.go
+++ b/internal/runner/diagnostics.go
@@ -7,19 +7,19 @@
 	"github.com/saffronpulley/saffronpulley/internal/incarnation"
 )
 
-// sightEvery bounds the log lines about what an agent ignores of its worker; all of it is counted.
-const sightEvery = 2 * time.Second
+// ignoredLogInterval bounds the log lines about what an agent ignores of its worker; all of it is counted.
+const ignoredLogInterval = 2 * time.Second
 
-// logOvertaken logs an answer or a report of the worker that is ignored because a later one is known.
-func (r *Runner) logOvertaken(what string, id incarnation.ID, got, known int64) {
+// logOutdated logs an answer or a report of the worker that is ignored because a later one is known.
+func (r *Runner) logOutdated(what string, id incarnation.ID, got, known int64) {
 	r.config.Metrics.Counter("agent.overtaken").Inc(1)
-	r.overtaken.Do(func() {
+	r.outdatedLog.Do(func() {
 		r.logger.Warn("overtaken %s of the worker is ignored; instance=%s got=%d known=%d", what, id, got, known)
 	})
 }
 
-// checkAcknowledged logs an acknowledgement beyond the ends that the worker has shown: it lets ends go that nobody has committed.
-func (r *Runner) checkAcknowledged(id incarnation.ID, seen uint64, view host.View) {
+// checkAcknowledgement logs an acknowledgement beyond the ends that the worker has shown: it lets ends go that nobody has committed.
+func (r *Runner) checkAcknowledgement(id incarnation.ID, seen uint64, view host.View) {
 	latest := uint64(0)
 	for _, e := range view.Ended {
 		latest = max(latest, e.Sequence)
@@ -41,8 +41,8 @@
 	r.logger.Info("worker incarnation answers first; instance=%s age_ms=%d", id, age)
 }
 
-// logFound logs what a new incarnation has or had before this agent started anything there: starts that were sent to one before.
-func (r *Runner) logFound(view host.View) {
+// logUnexpectedRuns logs what a new incarnation has or had before this agent started anything there: starts that were sent to one before.
+func (r *Runner) logUnexpectedRuns(view host.View) {
 	found := make([]host.Run, 0, len(view.Running)+len(view.Ended))
 	for _, running := range view.Running {
 		found = append(found, running.Run)
--- a/internal/runner/discovery_test.go
+++ b/internal/runner/discovery_test.go
@@ -10,9 +10,9 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// TestAgentsReturnAtAPaceThatTheirLeaderBears plays 1,600 agents that learn of a new leader at one moment: a leader on the weakest VM must not be
+// TestReconnectsAreSpreadForTheLeader plays 1,600 agents that learn of a new leader at one moment: a leader on the weakest VM must not be
 // sent more handshakes than it carries out, and those that cannot wait come first.
-func TestAgentsReturnAtAPaceThatTheirLeaderBears(t *testing.T) {
+func TestReconnectsAreSpreadForTheLeader(t *testing.T) {
 	const agents, window = 1600, 100 * time.Millisecond
 	draw := rand.New(rand.NewPCG(3, 4)) //nolint:gosec // a fixed seed
 	arrivals := make(map[time.Duration]int)
@@ -20,7 +20,7 @@
 	for i := range agents {
 		const few = 50
 		ends := i < agents/few
-		delay := returnDelay(agents, 5*time.Second, ends, draw.Float64())
+		delay := reconnectDelay(agents, 5*time.Second, ends, draw.Float64())
 		arrivals[delay/window]++
 		latest = max(latest, delay)
 		if ends {
@@ -30,33 +30,33 @@
 	// The draws of a window scatter around its share.
 	const scatter = 1.5
 	for at, count := range arrivals {
-		took := time.Duration(float64(count) * float64(handshake) / scatter)
+		took := time.Duration(float64(count) * float64(handshakeTime) / scatter)
 		assert.Assert(t, took <= window, "%d handshakes within %v after %v", count, window, at*window)
 	}
 	assert.Assert(t, latestUrgent <= latest/2, "agents with ends return after %v, all after %v", latestUrgent, latest)
 	assert.Assert(t, latest <= 2*time.Second)
 }
 
-func TestAgentOfASmallFleetReturnsAtOnce(t *testing.T) {
-	assert.Assert(t, returnDelay(14, 5*time.Second, false, 0.99) <= leastSpread)
-	assert.Assert(t, returnDelay(0, 5*time.Second, false, 0.99) <= leastSpread)
+func TestAgentOfASmallFleetReconnectsAtOnce(t *testing.T) {
+	assert.Assert(t, reconnectDelay(14, 5*time.Second, false, 0.99) <= minReturnSpread)
+	assert.Assert(t, reconnectDelay(0, 5*time.Second, false, 0.99) <= minReturnSpread)
 }
 
 // TestLeaseThatEndsSoonIsUrgent, however many agents return.
 func TestLeaseThatEndsSoonIsUrgent(t *testing.T) {
-	spread := 800 * handshake
-	assert.Assert(t, returnDelay(800, time.Second, false, 0.99) <= spread/4)
-	assert.Assert(t, returnDelay(800, time.Minute, false, 0.99) > spread/2)
+	spread := 800 * handshakeTime
+	assert.Assert(t, reconnectDelay(800, time.Second, false, 0.99) <= spread/4)
+	assert.Assert(t, reconnectDelay(800, time.Minute, false, 0.99) > spread/2)
 }
 
-func TestFullLeaderPushesItsAgentsBack(t *testing.T) {
+func TestFullLeaderDelaysReconnects(t *testing.T) {
 	full := fault.New(fault.Overloaded, "all connections are taken").WithRetryAfter(3 * time.Second)
-	assert.Equal(t, pushedBack(full), 3*time.Second)
-	assert.Equal(t, pushedBack(fault.New(fault.Unavailable, "no answer")), time.Duration(0))
+	assert.Equal(t, retryAfter(full), 3*time.Second)
+	assert.Equal(t, retryAfter(fault.New(fault.Unavailable, "no answer")), time.Duration(0))
 }
 
-// TestLeaderThatReadsItsJobsIsAskedAgainSoon: agents that came some milliseconds early waited a second and a half for a later leader.
-func TestLeaderThatReadsItsJobsIsAskedAgainSoon(t *testing.T) {
+// TestLeaderThatIsLoadingJobsIsRetriedSoon: agents that came some milliseconds early waited a second and a half for a later leader.
+func TestLeaderThatIsLoadingJobsIsRetriedSoon(t *testing.T) {
 	assert.Equal(t, failedEpoch(7, false, fault.New(fault.Stale, "this entry does not lead")), uint64(0))
 	assert.Equal(t, failedEpoch(7, true, fault.New(fault.Unavailable, "the lead closed the connection")), uint64(0))
 	assert.Equal(t, failedEpoch(7, false, fault.New(fault.Unavailable, "cannot connect")), uint64(7))
--- a/internal/runner/fakes_test.go
+++ b/internal/runner/fakes_test.go
@@ -14,34 +14,34 @@
 
 // fakeWorker answers orders as told and notes them.
 type fakeWorker struct {
-	mu     sync.Mutex
-	starts []host.Start
-	stops  []host.Run
-	// seen is up to which number each incarnation's ends were let go.
-	seen map[incarnation.ID]uint64
-	// fences are the highest that holds have shown each incarnation.
-	fences map[incarnation.ID]uint64
-	view   host.View
-	start  func() (host.Refusal, error)
-	// present is the incarnation that answers, zero for any; slow is how long a refusal under another id takes.
-	present incarnation.ID
-	slow    time.Duration
-	// away makes it refuse connections, refusals answer the next holds.
-	away     bool
-	refusals []host.Refusal
+	mu          sync.Mutex
+	startOrders []host.Start
+	stoppedRuns []host.Run
+	// acknowledgedEnds is up to which number each incarnation's ends were let go.
+	acknowledgedEnds map[incarnation.ID]uint64
+	// highestFences are the highest that holds have shown each incarnation.
+	highestFences map[incarnation.ID]uint64
+	view          host.View
+	answerStart   func() (host.Refusal, error)
+	// current is the incarnation that answers, zero for any; slow is how long a refusal under another id takes.
+	current      incarnation.ID
+	refusalDelay time.Duration
+	// unavailable makes it refuse connections, refusals answer the next holds.
+	unavailable bool
+	refusals    []host.Refusal
 }
 
 func (f *fakeWorker) Start(_ context.Context, _ incarnation.ID, order host.Start) (host.Refusal, error) {
 	f.mu.Lock()
-	f.starts = append(f.starts, order)
+	f.startOrders = append(f.startOrders, order)
 	f.mu.Unlock()
-	return f.start()
+	return f.answerStart()
 }
 
 func (f *fakeWorker) Stop(_ context.Context, _ incarnation.ID, run host.Run, _ uint64) (host.Refusal, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stops = append(f.stops, run)
+	f.stoppedRuns = append(f.stoppedRuns, run)
 	return host.Accepted, nil
 }
 
@@ -53,7 +53,7 @@
 
 func (f *fakeWorker) Renew(ctx context.Context, id incarnation.ID, h host.Renewal) (host.View, host.Refusal, error) {
 	f.mu.Lock()
-	present, away := f.present, f.away
+	present, away := f.current, f.unavailable
 	f.mu.Unlock()
 	if away {
 		return host.View{}, host.RefusedInvalid, fault.New(fault.Unavailable, "connection refused")
@@ -62,12 +62,12 @@
 		present = id
 	}
 	if !id.IsZero() && !present.SameWorker(id) {
-		wait.For(ctx, f.slow)
+		wait.For(ctx, f.refusalDelay)
 		return host.View{}, host.RefusedInvalid, fault.New(fault.Stale, "another instance answers")
 	}
 	f.mu.Lock()
-	if f.seen == nil {
-		f.seen, f.fences = make(map[incarnation.ID]uint64), make(map[incarnation.ID]uint64)
+	if f.acknowledgedEnds == nil {
+		f.acknowledgedEnds, f.highestFences = make(map[incarnation.ID]uint64), make(map[incarnation.ID]uint64)
 	}
 	if len(f.refusals) > 0 {
 		defer f.mu.Unlock()
@@ -75,12 +75,12 @@
 		f.refusals = f.refusals[1:]
 		return host.View{}, refusal, nil
 	}
-	if h.Fence < f.fences[present] {
+	if h.Fence < f.highestFences[present] {
 		f.mu.Unlock()
 		return host.View{}, host.RefusedFence, nil
 	}
-	f.fences[present] = h.Fence
-	f.seen[present] = max(f.seen[present], h.Acknowledged)
+	f.highestFences[present] = h.Fence
+	f.acknowledgedEnds[present] = max(f.acknowledgedEnds[present], h.Acknowledged)
 	f.mu.Unlock()
 	wait.For(ctx, h.Wait)
 	f.mu.Lock()
@@ -90,8 +90,8 @@
 	return view, host.Accepted, nil
 }
 
-// show sets what the worker lists.
-func (f *fakeWorker) show(view host.View) {
+// setView sets what the worker lists.
+func (f *fakeWorker) setView(view host.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view = view
@@ -101,39 +101,39 @@
 func (f *fakeWorker) acknowledged(id incarnation.ID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen[id]
+	return f.acknowledgedEnds[id]
 }
 
-// fenced returns the highest fence that an incarnation was shown.
-func (f *fakeWorker) fenced(id incarnation.ID) uint64 {
+// highestFence returns the highest fence that an incarnation was shown.
+func (f *fakeWorker) highestFence(id incarnation.ID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fences[id]
+	return f.highestFences[id]
 }
 
-// setAway makes the worker refuse connections, or accept them again.
-func (f *fakeWorker) setAway(away bool) {
+// setUnavailable makes the worker refuse connections, or accept them again.
+func (f *fakeWorker) setUnavailable(away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = away
+	f.unavailable = away
 }
 
 // restart gives the worker another incarnation.
 func (f *fakeWorker) restart(id incarnation.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.present = id
+	f.current = id
 }
 
 // started returns the starts so far, and stopped the stops.
 func (f *fakeWorker) started() []host.Start {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.starts)
+	return slices.Clone(f.startOrders)
 }
 
 func (f *fakeWorker) stopped() []host.Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.stops)
+	return slices.Clone(f.stoppedRuns)
 }
--- a/internal/runner/fences_test.go
+++ b/internal/runner/fences_test.go
@@ -18,43 +18,43 @@
 	var f fences
 	assert.Assert(t, f.grant(10, 3, 5))
 	assert.Assert(t, !f.grant(10, 6, 8), "orders under way bear the numbers of the first connection")
-	assert.Equal(t, f.present, uint64(3))
+	assert.Equal(t, f.current, uint64(3))
 	assert.Assert(t, f.grant(20, 0, 0))
-	assert.Equal(t, f.present, uint64(20))
+	assert.Equal(t, f.current, uint64(20))
 	assert.Equal(t, f.last, uint64(20))
 }
 
-// TestDoubtRaisesTheFenceAboveAllCalls, and only where there were any: an agent that doubts often does not use its numbers up.
-func TestDoubtRaisesTheFenceAboveAllCalls(t *testing.T) {
+// TestFenceIsRaisedAboveAllCalls, and only where there were any: an agent that doubts often does not use its numbers up.
+func TestFenceIsRaisedAboveAllCalls(t *testing.T) {
 	var f fences
 	f.grant(10, 3, 4)
-	assert.Assert(t, !f.doubt())
-	assert.Equal(t, f.present, uint64(3))
-	f.answered(3)
+	assert.Assert(t, !f.raise())
+	assert.Equal(t, f.current, uint64(3))
+	f.recordAnswer(3)
 	f.use()
-	assert.Assert(t, f.reached && !f.doubt())
-	assert.Assert(t, !f.reached)
-	assert.Equal(t, f.present, uint64(4))
-	f.answered(3)
-	assert.Assert(t, !f.reached, "an answer under an earlier number")
+	assert.Assert(t, f.confirmed && !f.raise())
+	assert.Assert(t, !f.confirmed)
+	assert.Equal(t, f.current, uint64(4))
+	f.recordAnswer(3)
+	assert.Assert(t, !f.confirmed, "an answer under an earlier number")
 	f.use()
-	assert.Assert(t, f.doubt(), "used up")
+	assert.Assert(t, f.raise(), "used up")
 }
 
-// TestFenceIsShownBeforeTheWorkerReports, by a call to whichever incarnation answers.
-func TestFenceIsShownBeforeTheWorkerReports(t *testing.T) {
+// TestFenceIsSentBeforeTheWorkerReports, by a call to whichever incarnation answers.
+func TestFenceIsSentBeforeTheWorkerReports(t *testing.T) {
 	for name, known := range map[string]bool{"agent knows another incarnation": true, "agent knows none": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worker := &fakeWorker{present: incarnation.New("i-of-long-ago", 1)}
+				worker := &fakeWorker{current: incarnation.New("i-of-long-ago", 1)}
 				r := newTest(worker)
 				if !known {
 					r.worker = nil
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() { _ = r.renewLoop(ctx) }()
-				time.Sleep(2 * contactPause)
-				assert.Equal(t, worker.fenced(worker.present), uint64(3))
+				time.Sleep(2 * contactInterval)
+				assert.Equal(t, worker.highestFence(worker.current), uint64(3))
 				cancel()
 				synctest.Wait()
 			})
@@ -67,17 +67,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
 		r := newTest(worker)
-		r.fences = fences{epoch: 3, present: 2, last: 3}
-		worker.start = func() (host.Refusal, error) {
+		r.fences = fences{epoch: 3, current: 2, last: 3}
+		worker.answerStart = func() (host.Refusal, error) {
 			if len(worker.started()) > 1 {
 				return host.Accepted, nil
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.doubtIncarnation()
+			r.raiseFence()
 			return host.RefusedFence, nil
 		}
-		_, err := r.takeOrders(t.Context(), nil, startOrders())
+		_, err := r.handleOrders(t.Context(), nil, startOrders())
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
 		starts := worker.started()
@@ -89,33 +89,33 @@
 	})
 }
 
-// TestWorkerThatIsBackIsCalledSoon, and one that stays away seldom: nothing that was sent may be carried out by then.
-func TestWorkerThatIsBackIsCalledSoon(t *testing.T) {
-	for away, within := range map[time.Duration]time.Duration{255 * time.Millisecond: 2 * contactPause, host.MaxCallDelay + 255*time.Millisecond: holdPause} {
+// TestReturnedWorkerIsCalledSoon, and one that stays away seldom: nothing that was sent may be carried out by then.
+func TestReturnedWorkerIsCalledSoon(t *testing.T) {
+	for away, within := range map[time.Duration]time.Duration{255 * time.Millisecond: 2 * contactInterval, host.MaxCallDelay + 255*time.Millisecond: renewalRetryDelay} {
 		synctest.Test(t, func(t *testing.T) {
-			worker := &fakeWorker{present: testID, away: true}
+			worker := &fakeWorker{current: testID, unavailable: true}
 			r := newTest(worker)
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() { _ = r.renewLoop(ctx) }()
 			time.Sleep(away)
-			worker.setAway(false)
+			worker.setUnavailable(false)
 			time.Sleep(within)
-			assert.Equal(t, worker.fenced(testID), uint64(3), "after %v", away)
+			assert.Equal(t, worker.highestFence(testID), uint64(3), "after %v", away)
 			cancel()
 			synctest.Wait()
 		})
 	}
 }
 
-// TestAgentFollowsOneOfTheReleaseBefore, which used the epoch as the fence.
-func TestAgentFollowsOneOfTheReleaseBefore(t *testing.T) {
+// TestAgentReplacesOneOfPreviousRelease, which used the epoch as the fence.
+func TestAgentReplacesOneOfPreviousRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{present: testID, seen: make(map[incarnation.ID]uint64), fences: map[incarnation.ID]uint64{testID: 9}}
+		worker := &fakeWorker{current: testID, acknowledgedEnds: make(map[incarnation.ID]uint64), highestFences: map[incarnation.ID]uint64{testID: 9}}
 		r := newTest(worker)
-		r.epoch, r.fences = 9, fences{epoch: 9, present: 2, last: 4}
+		r.epoch, r.fences = 9, fences{epoch: 9, current: 2, last: 4}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = r.renewLoop(ctx) }()
-		time.Sleep(2 * holdWait)
+		time.Sleep(2 * renewalWait)
 		report, _ := r.compose()
 		assert.Assert(t, report.Fenced && !report.Silent)
 		cancel()
--- a/internal/runner/hall_test.go
+++ b/internal/runner/hall_test.go
@@ -16,61 +16,61 @@
 // TestNothingStartsInAClosedHall is an order that was under way as the hall was closed.
 func TestNothingStartsInAClosedHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		r.hall.learn(link.Hall{Closed: true, Revision: 9}, r.config.Uptime.Now())
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		r.hall.update(link.Hall{Closed: true, Revision: 9}, r.config.Uptime.Now())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 0)
 
 		later := startOrders()
 		later.Starts[0].Number, later.Hall = 2, link.Hall{Revision: 10}
-		_, err = r.takeOrders(context.Background(), nil, later)
+		_, err = r.handleOrders(context.Background(), nil, later)
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 1, "the order says that the hall is open again")
 	})
 }
 
-// TestStartThatGetsNoAnswerIsTakenBackOnceTheHallIsClosed is a start that is repeated while the hall is closed.
-func TestStartThatGetsNoAnswerIsTakenBackOnceTheHallIsClosed(t *testing.T) {
+// TestUnansweredStartIsWithdrawnWhenHallCloses is a start that is repeated while the hall is closed.
+func TestUnansweredStartIsWithdrawnWhenHallCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: noAnswer}
+		worker := &fakeWorker{answerStart: noAnswer}
 		r := newTest(worker)
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		synctest.Wait()
 		r.mu.Lock()
-		r.hall.learn(link.Hall{Closed: true, Revision: 9}, r.config.Uptime.Now())
+		r.hall.update(link.Hall{Closed: true, Revision: 9}, r.config.Uptime.Now())
 		r.mu.Unlock()
-		time.Sleep(10 * orderPause)
+		time.Sleep(10 * orderRetryDelay)
 		assert.Equal(t, len(worker.started()), 1)
 		assert.Equal(t, len(worker.stopped()), 1, "it may have been done")
 	})
 }
 
-// TestNothingStartsOnceTheLeadWasNotHeardForLong is an order that a cut held up: meanwhile the hall may have been closed.
-func TestNothingStartsOnceTheLeadWasNotHeardForLong(t *testing.T) {
+// TestNothingStartsWhenHallStateIsStale is an order that a cut held up: meanwhile the hall may have been closed.
+func TestNothingStartsWhenHallStateIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
 		time.Sleep(hall.StaleAfter(testClosedWithin) + time.Millisecond)
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 0)
 	})
 }
 
-// TestOlderWordOfAHallIsLeft is an answer that newer orders have overtaken.
-func TestOlderWordOfAHallIsLeft(t *testing.T) {
+// TestOlderHallStateIsIgnored is an answer that newer orders have overtaken.
+func TestOlderHallStateIsIgnored(t *testing.T) {
 	var h hallState
 	now := (&boottimetest.Clock{}).Now()
-	h.learn(link.Hall{Closed: true, Revision: 9}, now)
-	h.learn(link.Hall{Revision: 8}, now)
+	h.update(link.Hall{Closed: true, Revision: 9}, now)
+	h.update(link.Hall{Revision: 8}, now)
 	assert.Assert(t, h.latest.Closed)
-	h.learn(link.Hall{Revision: 10}, now.Add(-time.Hour))
+	h.update(link.Hall{Revision: 10}, now.Add(-time.Hour))
 	assert.Assert(t, !h.latest.Closed)
-	assert.Equal(t, h.told, now)
+	assert.Equal(t, h.confirmedAt, now)
 }
--- a/internal/runner/late.go
+++ b/internal/runner/late.go
@@ -15,29 +15,29 @@
 	run    host.Run
 }
 
-// recordLate records a start that got no answer. A later incarnation under the same id may carry it out too.
-func (r *Runner) recordLate(id incarnation.ID, run host.Run, now time.Time) {
-	r.late.Add(lateStart{worker: id.Worker(), run: run}, now)
+// recordLateStart records a start that got no answer. A later incarnation under the same id may carry it out too.
+func (r *Runner) recordLateStart(id incarnation.ID, run host.Run, now time.Time) {
+	r.lateStarts.Add(lateStart{worker: id.Worker(), run: run}, now)
 }
 
-// lateFor returns for how long after its stop a run is not reported as refused: the stop binds one incarnation, and a start that got no answer
+// lateStartDelay returns for how long after its stop a run is not reported as refused: the stop binds one incarnation, and a start that got no answer
 // may be carried out by the next. That takes up to host.LateFor, so it is waited for only where the worker has returned under an id before, and not
 // for a lasting task, which would be away for longer than its callers bear.
-func (r *Runner) lateFor(w *workerState, run host.Run) time.Duration {
+func (r *Runner) lateStartDelay(w *workerState, run host.Run) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	recorded, late := r.late[lateStart{worker: w.id.Worker(), run: run}]
-	if !late || !r.returns || w.profiles[run].LongRunning {
+	recorded, late := r.lateStarts[lateStart{worker: w.id.Worker(), run: run}]
+	if !late || !r.idReused || w.profiles[run].LongRunning {
 		return 0
 	}
 	return time.Until(recorded.Add(host.MaxCallDelay))
 }
 
-// lateRuns returns the runs that an incarnation may still be given by late starts, in order.
-func (r *Runner) lateRuns(id incarnation.ID, now time.Time) []host.Run {
+// lateStartRuns returns the runs that an incarnation may still be given by late starts, in order.
+func (r *Runner) lateStartRuns(id incarnation.ID, now time.Time) []host.Run {
 	var runs []host.Run
-	for s := range r.late {
-		if s.worker == id.Worker() && r.late.Has(s, now) {
+	for s := range r.lateStarts {
+		if s.worker == id.Worker() && r.lateStarts.Has(s, now) {
 			runs = append(runs, s.run)
 		}
 	}
--- a/internal/runner/late_test.go
+++ b/internal/runner/late_test.go
@@ -11,13 +11,13 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestLateStartOfAWorkerThatReturnsHoldsItsTask plays seeds 9107 and 8909 of the soak: a task ran again beside its replacement, or after its end
+// TestLateStartOnRestartedWorkerDelaysStopReport plays seeds 9107 and 8909 of the soak: a task ran again beside its replacement, or after its end
 // had been acknowledged.
 //
 // Order of events: a start gets no answer and is stopped, which the worker acknowledges; the leader places the task elsewhere, where it is done; the
 // worker crashes and is back under its id; the late start is carried out there before the agent knows of the new incarnation. Cause: a stop binds the
 // incarnation that acknowledged it, and the start outlived that.
-func TestLateStartOfAWorkerThatReturnsHoldsItsTask(t *testing.T) {
+func TestLateStartOnRestartedWorkerDelaysStopReport(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		returned, lasting bool
@@ -29,17 +29,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worker := &fakeWorker{start: noAnswer}
-				r := bornTest(t, worker)
-				defer r.abandon()
+				worker := &fakeWorker{answerStart: noAnswer}
+				r := newIncarnationTest(t, worker)
+				defer r.cancelOrders()
 				orders := startOrders()
-				orders.StartMillis, orders.Starts[0].LongRunning = firstBirth.StartMillis(), c.lasting
+				orders.StartMillis, orders.Starts[0].LongRunning = firstIncarnation.StartMillis(), c.lasting
 				if c.returned {
-					startAgain(r, worker)
-					orders.StartMillis = secondBirth.StartMillis()
-					r.permitted, r.hall.told = r.config.Uptime.Now().Add(time.Minute), r.config.Uptime.Now()
+					restartWorker(r, worker)
+					orders.StartMillis = secondIncarnation.StartMillis()
+					r.agentLeaseEnd, r.hall.confirmedAt = r.config.Uptime.Now().Add(time.Minute), r.config.Uptime.Now()
 				}
-				_, err := r.takeOrders(t.Context(), nil, orders)
+				_, err := r.handleOrders(t.Context(), nil, orders)
 				assert.NilError(t, err)
 				time.Sleep(3 * time.Second)
 				assert.Equal(t, len(worker.stopped()), 1)
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -48,55 +48,55 @@
 	config Config
 	logger logging.Logger
 	mux    *rpc.Mux
-	// changed wakes the uplink when there is something to report, settled the hold when ends were taken note of.
-	changed chan struct{}
-	settled chan struct{}
+	// reportDue wakes the uplink when there is something to report, settled the hold when ends were taken note of.
+	reportDue        chan struct{}
+	endsAcknowledged chan struct{}
 	// heartbeat wakes what waits for the worker to report, nominated what asks it which incarnation it is.
-	heartbeat chan struct{}
-	nominated chan struct{}
-	// unusable bounds the log lines about reports that cannot be used.
-	unusable rate.Sometimes
-	// overtaken bounds those about what came too late.
-	overtaken rate.Sometimes
-	// patience goes by how long starts usually take to be answered.
-	patience *wait.Timeout
-	// lifetime ends with Run; work counts the orders under way, which hang on it.
-	lifetime context.Context
-	work     sync.WaitGroup
-	// storePause spreads the reads of the store where no entry answers, storeNext is when the next is due; only report uses them.
-	storePause *wait.Backoff
-	storeNext  time.Time
+	heartbeat      chan struct{}
+	candidateAdded chan struct{}
+	// unusableLog bounds the log lines about reports that cannot be used.
+	unusableLog rate.Sometimes
+	// outdatedLog bounds those about what came too late.
+	outdatedLog rate.Sometimes
+	// startTimeout goes by how long starts usually take to be answered.
+	startTimeout *wait.Timeout
+	// runContext ends with Run; work counts the orders under way, which hang on it.
+	runContext context.Context
+	orderTasks sync.WaitGroup
+	// storeBackoff spreads the reads of the store where no entry answers, storeNext is when the next is due; only report uses them.
+	storeBackoff  *wait.Backoff
+	nextStoreRead time.Time
 
 	// mu guards all below; no call is made while it is held.
 	mu      sync.Mutex
 	epoch   uint64
 	fences  fences
 	session *rpc.Peer
-	// permitted is until when the worker may go on and be given work.
-	permitted boottime.Instant
-	hall      hallState
+	// agentLeaseEnd is until when the worker may go on and be given work.
+	agentLeaseEnd boottime.Instant
+	hall          hallState
 	// worker is the present incarnation of the worker, nil before it has reported.
 	worker     *workerState
 	candidates []*workerState
 	ended      endedIncarnations
-	late       host.LateCalls[lateStart]
-	// returns says that the worker has started again under an id that it had before.
-	returns bool
-	crashes crashes
+	lateStarts host.LateCalls[lateStart]
+	// idReused says that the worker has started again under an id that it had before.
+	idReused bool
+	crashes  crashes
 }
 
 // New returns an agent that knows neither its worker nor its lead.
 func New(config Config) *Runner {
 	r := &Runner{
-		config: config, logger: config.Logger, changed: make(chan struct{}, 1),
-		settled: make(chan struct{}, 1), heartbeat: make(chan struct{}, 1), nominated: make(chan struct{}, 1),
-		patience: wait.NewTimeout(startLeast, startMost), unusable: rate.Sometimes{Interval: unusableEvery},
-		overtaken: rate.Sometimes{Interval: sightEvery}, storePause: wait.NewBackoff(storeFirst, storeLast, config.Random),
-		lifetime: context.Background(),
+		config: config, logger: config.Logger, reportDue: make(chan struct{}, 1),
+		endsAcknowledged: make(chan struct{}, 1), heartbeat: make(chan struct{}, 1), candidateAdded: make(chan struct{}, 1),
+		startTimeout: wait.NewTimeout(minStartTimeout, maxStartTimeout), unusableLog: rate.Sometimes{Interval: unusableLogInterval},
+		outdatedLog: rate.Sometimes{Interval: ignoredLogInterval}, storeBackoff: wait.NewBackoff(minStoreDelay, maxStoreDelay, config.Random),
+		runContext: context.Background(),
 	}
-	r.late = make(host.LateCalls[lateStart])
+	r.lateStarts = make(host.LateCalls[lateStart])
 	r.mux = rpc.NewMux(config.Clock)
-	rpc.Handle(r.mux, link.MethodOrders, r.takeOrders)
+	rpc.Handle(r.mux, link.MethodOrders, r.handleOrders)
 	return r
 }
 
@@ -104,22 +104,22 @@
 func (r *Runner) Run(ctx context.Context) error {
 	group, bounded := errgroup.WithContext(ctx)
 	r.mu.Lock()
-	r.lifetime = bounded
+	r.runContext = bounded
 	r.mu.Unlock()
-	defer r.work.Wait()
-	defer r.abandon()
+	defer r.orderTasks.Wait()
+	defer r.cancelOrders()
 	group.Go(func() error { return r.renewLoop(bounded) })
-	group.Go(func() error { return r.verify(bounded) })
-	group.Go(func() error { return r.report(bounded) })
+	group.Go(func() error { return r.verifyCandidates(bounded) })
+	group.Go(func() error { return r.runUplink(bounded) })
 	return group.Wait()
 }
 
-// abandon ends all orders under way.
-func (r *Runner) abandon() {
+// cancelOrders ends all orders under way.
+func (r *Runner) cancelOrders() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.worker != nil {
-		r.worker.drop()
+		r.worker.cancelOrders()
 	}
 	r.worker = nil
 }
@@ -139,49 +139,49 @@
 		r.worker = newWorkerState(report, now)
 		wait.Notify(r.heartbeat)
 	case r.worker.id != report.Incarnation:
-		r.nominate(report, now)
+		r.addCandidate(report, now)
 		return true
-	case r.worker.report.Service != report.Service && r.worker.foreign:
+	case r.worker.report.Service != report.Service && r.worker.unknownService:
 		// An unknown sender may have reported under the name of the incarnation before it did itself.
 		r.logger.Warn("the worker is of another service than was reported first; instance=%s service=%s reported=%s",
 			report.Incarnation, report.Service, r.worker.report.Service)
-		r.worker.report, r.worker.foreign = report, false
-		wait.Notify(r.changed)
+		r.worker.report, r.worker.unknownService = report, false
+		wait.Notify(r.reportDue)
 	case r.worker.report.Service != report.Service:
-		r.unusable.Do(func() {
+		r.unusableLog.Do(func() {
 			r.logger.Warn("report of another service under the worker's name is ignored; instance=%s service=%s known=%s",
 				report.Incarnation, report.Service, r.worker.report.Service)
 		})
 		return false
 	}
-	r.renew(report)
+	r.updateReport(report)
 	return true
 }
 
-// renew stores a newer report of the present incarnation.
-func (r *Runner) renew(report host.Report) {
+// updateReport stores a newer report of the present incarnation.
+func (r *Runner) updateReport(report host.Report) {
 	before := r.worker.report
-	if !r.worker.renew(report) {
-		r.logOvertaken("report", report.Incarnation, int64(report.Sequence), int64(before.Sequence)) //nolint:gosec // both are counts
+	if !r.worker.updateReport(report) {
+		r.logOutdated("report", report.Incarnation, int64(report.Sequence), int64(before.Sequence)) //nolint:gosec // both are counts
 		return
 	}
 	if report.Draining && !before.Draining {
 		r.logger.Info("worker drains; instance=%s remaining_ms=%d", report.Incarnation, report.Remaining.Milliseconds())
-		wait.Notify(r.changed)
+		wait.Notify(r.reportDue)
 	}
 	if report.Capacity != before.Capacity {
 		r.logger.Info("worker has another room; instance=%s before=%v now=%v", report.Incarnation, before.Capacity, report.Capacity)
-		wait.Notify(r.changed)
+		wait.Notify(r.reportDue)
 	}
 }
 
-// unusableEvery is how often reports that cannot be used are logged at the most; the others are counted.
-const unusableEvery = 2 * time.Second
+// unusableLogInterval is how often reports that cannot be used are logged at the most; the others are counted.
+const unusableLogInterval = 2 * time.Second
 
 // Unusable records a report that names no worker to use; what is known under its name stays as it is.
 func (r *Runner) Unusable(instance string, reason error) {
 	r.config.Metrics.Counter("agent.unusable_reports").Inc(1)
-	r.unusable.Do(func() {
+	r.unusableLog.Do(func() {
 		r.logger.Warn("report that cannot be used is ignored; instance=%q reason=%v", instance, reason)
 	})
 }
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -40,8 +40,8 @@
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Capacity: job.Size{CPU: 4000, Memory: 1000}, Sequence: 1})
 	r.epoch = 3
 	r.fences.grant(3, 3, 3)
-	r.permitted = r.config.Uptime.Now().Add(5 * time.Second)
-	r.hall.told = r.config.Uptime.Now()
+	r.agentLeaseEnd = r.config.Uptime.Now().Add(5 * time.Second)
+	r.hall.confirmedAt = r.config.Uptime.Now()
 	return r
 }
 
@@ -60,14 +60,14 @@
 func TestStartIsCarriedOutOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ordered := make(chan struct{})
-		worker := &fakeWorker{start: func() (host.Refusal, error) {
+		worker := &fakeWorker{answerStart: func() (host.Refusal, error) {
 			<-ordered
 			return accept()
 		}}
 		r := newTest(worker)
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
-		_, err = r.takeOrders(context.Background(), nil, startOrders())
+		_, err = r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		close(ordered)
 		synctest.Wait()
@@ -77,45 +77,45 @@
 	})
 }
 
-func TestStartWithoutAnswerIsTakenBackByAStop(t *testing.T) {
+func TestUnansweredStartIsWithdrawnByAStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: noAnswer}
+		worker := &fakeWorker{answerStart: noAnswer}
 		r := newTest(worker)
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, len(worker.started()), orderAttempts)
+		assert.Equal(t, len(worker.started()), maxStartAttempts)
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1)})
 		// It is told as never started only after two views that do not show how it ended.
 		report, _ := r.compose()
 		assert.Equal(t, len(report.Rejected), 0)
 		assert.Equal(t, len(report.Pending), 1)
-		r.held(context.Background(), testID, host.Renewal{}, host.View{})
-		r.held(context.Background(), testID, host.Renewal{}, host.View{})
+		r.recordRenewal(context.Background(), testID, host.Renewal{}, host.View{})
+		r.recordRenewal(context.Background(), testID, host.Renewal{}, host.View{})
 		report, _ = r.compose()
 		assert.Equal(t, len(report.Rejected), 1)
 	})
 }
 
-func TestOrdersForAnotherLifeEpochOrConnectionAreRefused(t *testing.T) {
-	worker := &fakeWorker{start: accept}
+func TestOrdersForAnotherIncarnationOrEpochAreRefused(t *testing.T) {
+	worker := &fakeWorker{answerStart: accept}
 	r := newTest(worker)
 	other := startOrders()
 	other.Instance = "i-0"
-	_, err := r.takeOrders(context.Background(), nil, other)
+	_, err := r.handleOrders(context.Background(), nil, other)
 	assert.Assert(t, fault.Is(err, fault.Stale))
 	old := startOrders()
 	old.Epoch = 2
-	_, err = r.takeOrders(context.Background(), nil, old)
+	_, err = r.handleOrders(context.Background(), nil, old)
 	assert.Assert(t, fault.Is(err, fault.Stale))
 	assert.Equal(t, len(worker.started()), 0)
 }
 
-func TestNothingStartsOnAWorkerThatDrains(t *testing.T) {
-	worker := &fakeWorker{start: accept}
+func TestNothingStartsOnADrainingWorker(t *testing.T) {
+	worker := &fakeWorker{answerStart: accept}
 	r := newTest(worker)
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Draining: true, Sequence: 2})
-	_, err := r.takeOrders(context.Background(), nil, startOrders())
+	_, err := r.handleOrders(context.Background(), nil, startOrders())
 	assert.NilError(t, err)
 	assert.Equal(t, len(worker.started()), 0)
 	// A late report of before does not open it again.
@@ -123,188 +123,188 @@
 	assert.Assert(t, r.worker.report.Draining)
 }
 
-func TestStartsAreTakenBackWhenThePermissionWasOver(t *testing.T) {
+func TestStartsAreWithdrawnAfterAgentLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: func() (host.Refusal, error) {
+		worker := &fakeWorker{answerStart: func() (host.Refusal, error) {
 			time.Sleep(10 * time.Second)
 			return noAnswer()
 		}}
 		r := newTest(worker)
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		time.Sleep(6 * time.Second)
 		r.mu.Lock()
-		r.forsake(r.worker)
+		r.withdrawStarts(r.worker)
 		r.mu.Unlock()
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, len(worker.started()), 1)
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1)})
-		_, err = r.takeOrders(context.Background(), nil, startOrders())
+		_, err = r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 1)
 	})
 }
 
-func TestTimeOfRunsEndsWithThePermission(t *testing.T) {
+func TestRunDeadlineEndsWithAgentLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
+		r := newTest(&fakeWorker{answerStart: accept})
 		l := r.worker
-		l.clock, l.read = host.Clock(100*time.Second), time.Now()
-		r.permitted = r.config.Uptime.Now().Add(2 * time.Second)
+		l.clock, l.clockReadAt = host.Clock(100*time.Second), time.Now()
+		r.agentLeaseEnd = r.config.Uptime.Now().Add(2 * time.Second)
 		// A worker's clock that is 2 % slow shows this after two seconds.
-		assert.Equal(t, time.Duration(r.until(l)), 100*time.Second+1960*time.Millisecond)
-		r.permitted = r.config.Uptime.Now().Add(time.Minute)
-		assert.Equal(t, time.Duration(r.until(l)), 100*time.Second+time.Duration(clockRate*float64(holdTime)))
-		r.permitted = r.config.Uptime.Now()
-		assert.Equal(t, r.until(l), host.Clock(0))
+		assert.Equal(t, time.Duration(r.runDeadline(l)), 100*time.Second+1960*time.Millisecond)
+		r.agentLeaseEnd = r.config.Uptime.Now().Add(time.Minute)
+		assert.Equal(t, time.Duration(r.runDeadline(l)), 100*time.Second+time.Duration(minClockRate*float64(runLease)))
+		r.agentLeaseEnd = r.config.Uptime.Now()
+		assert.Equal(t, r.runDeadline(l), host.Clock(0))
 	})
 }
 
 func TestSilentWorkerIsNotRenewedAndLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
-		_, _, ok := r.nextHold()
+		r := newTest(&fakeWorker{answerStart: accept})
+		_, _, ok := r.nextRenewal()
 		assert.Assert(t, ok)
 		time.Sleep(silentAfter + time.Millisecond)
-		r.unheld(testID, time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
+		r.recordFailedRenewal(testID, time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
 		report, _ := r.compose()
 		assert.Assert(t, report.Silent && !report.Lapsed)
-		_, hold, _ := r.nextHold()
+		_, hold, _ := r.nextRenewal()
 		assert.Equal(t, hold.Until, host.Clock(0))
-		time.Sleep(holdTime)
+		time.Sleep(runLease)
 		report, _ = r.compose()
 		assert.Assert(t, report.Lapsed)
-		r.held(context.Background(), testID, host.Renewal{}, host.View{})
+		r.recordRenewal(context.Background(), testID, host.Renewal{}, host.View{})
 		report, _ = r.compose()
 		assert.Assert(t, !report.Silent)
 	})
 }
 
-func TestNewEpochForgetsTheOrdersOfTheLast(t *testing.T) {
+func TestNewEpochDiscardsOrdersOfThePrevious(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: noAnswer}
+		worker := &fakeWorker{answerStart: noAnswer}
 		r := newTest(worker)
-		_, err := r.takeOrders(context.Background(), nil, startOrders())
+		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
-		assert.NilError(t, r.adopt(nil, record.Leader{Epoch: 4}))
+		assert.NilError(t, r.adoptLeader(nil, record.Leader{Epoch: 4}))
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, len(worker.started()) <= 1)
 		report, _ := r.compose()
 		assert.Equal(t, len(report.Pending), 0)
 		assert.Assert(t, !report.Fenced)
-		assert.Assert(t, fault.Is(r.adopt(nil, record.Leader{Epoch: 3}), fault.Stale))
+		assert.Assert(t, fault.Is(r.adoptLeader(nil, record.Leader{Epoch: 3}), fault.Stale))
 	})
 }
 
-func TestEndsAreReportedUntilTheyAreTakenNoteOf(t *testing.T) {
-	r := newTest(&fakeWorker{start: accept})
+func TestEndsAreReportedUntilAcknowledged(t *testing.T) {
+	r := newTest(&fakeWorker{answerStart: accept})
 	ended := host.View{Ended: []host.EndedRun{{Sequence: 7, Run: testRun(1), End: job.EndDone}}}
-	assert.Assert(t, r.held(context.Background(), testID, host.Renewal{Fence: 3}, ended))
+	assert.Assert(t, r.recordRenewal(context.Background(), testID, host.Renewal{Fence: 3}, ended))
 	report, l := r.compose()
 	assert.Assert(t, report.Fenced)
 	assert.Equal(t, len(report.Ended), 1)
-	l.learn(report, link.ReportAnswer{Epoch: 3})
-	assert.Equal(t, l.seen, uint64(0))
-	l.learn(report, link.ReportAnswer{Epoch: 3, AcknowledgedEnds: 7})
-	_, hold, _ := r.nextHold()
+	l.applyAnswer(report, link.ReportAnswer{Epoch: 3})
+	assert.Equal(t, l.acknowledgedEnds, uint64(0))
+	l.applyAnswer(report, link.ReportAnswer{Epoch: 3, AcknowledgedEnds: 7})
+	_, hold, _ := r.nextRenewal()
 	assert.Equal(t, hold.Acknowledged, uint64(7))
 }
 
 // Runs of the tests of the pace: a task that serves under a target of 10 ms, and one that fills.
 var (
-	servingRun = host.Run{Task: job.TaskID{Job: "00000000000000bb"}, Number: 1}
-	fillingRun = host.Run{Task: job.TaskID{Job: "00000000000000cc"}, Number: 1}
+	servingRun    = host.Run{Task: job.TaskID{Job: "00000000000000bb"}, Number: 1}
+	bestEffortRun = host.Run{Task: job.TaskID{Job: "00000000000000cc"}, Number: 1}
 )
 
-// crowd lets the agent know a serving task and a filling one beside it.
-func crowd(r *Runner) {
+// addTestTasks lets the agent know a serving task and a filling one beside it.
+func addTestTasks(r *Runner) {
 	r.worker.profiles[servingRun] = link.Profile{Run: wireRun(servingRun), Image: "web", CPU: 1000, TargetMillis: 10, LongRunning: true}
-	r.worker.profiles[fillingRun] = link.Profile{Run: wireRun(fillingRun), Image: "mail", CPU: 1000, BestEffort: true}
+	r.worker.profiles[bestEffortRun] = link.Profile{Run: wireRun(bestEffortRun), Image: "mail", CPU: 1000, BestEffort: true}
 }
 
-// show lets the worker show a tail, in milliseconds, beside a filling task.
-func show(r *Runner, tail int) {
-	r.held(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
-		{Run: servingRun, Percent: 100, Measurement: tail}, {Run: fillingRun, Measurement: 500},
+// showTail lets the worker showTail a tail, in milliseconds, beside a filling task.
+func showTail(r *Runner, tail int) {
+	r.recordRenewal(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
+		{Run: servingRun, Percent: 100, Measurement: tail}, {Run: bestEffortRun, Measurement: 500},
 	}})
 }
 
-// TestNothingIsAddedBesideATaskThatIsOverForLong failed with filling tasks that were started two seconds after a serving
+// TestNoBestEffortStartDuringSustainedViolation failed with filling tasks that were started two seconds after a serving
 // task had gone over its target, which was then over for four.
-func TestNothingIsAddedBesideATaskThatIsOverForLong(t *testing.T) {
+func TestNoBestEffortStartDuringSustainedViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		crowd(r)
-		show(r, 5)
+		addTestTasks(r)
+		showTail(r, 5)
 		for range 4 {
 			time.Sleep(500 * time.Millisecond)
-			show(r, 20)
+			showTail(r, 20)
 		}
 		orders := startOrders()
 		orders.Starts[0].BestEffort = true
-		_, err := r.takeOrders(context.Background(), nil, orders)
+		_, err := r.handleOrders(context.Background(), nil, orders)
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 0)
 		orders = startOrders()
 		orders.Starts[0].Number = 2
-		_, err = r.takeOrders(context.Background(), nil, orders)
+		_, err = r.handleOrders(context.Background(), nil, orders)
 		assert.NilError(t, err)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 1, "what does not fill starts")
 	})
 }
 
-// TestWhatComesWhileAllStandsHasToStand failed with a task of another image that ran at full pace until the next reckoning.
-func TestWhatComesWhileAllStandsHasToStand(t *testing.T) {
+// TestNewBestEffortTaskIsThrottledDuringViolation failed with a task of another image that ran at full pace until the next reckoning.
+func TestNewBestEffortTaskIsThrottledDuringViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
-		crowd(r)
-		show(r, 5)
+		r := newTest(&fakeWorker{answerStart: accept})
+		addTestTasks(r)
+		showTail(r, 5)
 		for range 6 {
 			time.Sleep(500 * time.Millisecond)
-			show(r, 20)
+			showTail(r, 20)
 		}
 		late := host.Run{Task: job.TaskID{Job: "00000000000000dd"}, Number: 1}
 		r.worker.profiles[late] = link.Profile{Run: wireRun(late), Image: "scan", CPU: 1000, BestEffort: true}
-		r.held(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
+		r.recordRenewal(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
 			{Run: servingRun, Percent: 100, Measurement: 20}, {Run: late, Measurement: 500},
 		}})
 		assert.Equal(t, r.worker.paceOf(late), pacing.Min)
 	})
 }
 
-// TestTaskThatIsFoundOverIsTakenToBeOverForLong failed with an agent that was started again beside a task that had been over
+// TestViolationAtFirstViewCountsAsSustained failed with an agent that was started again beside a task that had been over
 // its target before, and took two seconds more to stop what slowed it.
-func TestTaskThatIsFoundOverIsTakenToBeOverForLong(t *testing.T) {
+func TestViolationAtFirstViewCountsAsSustained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
-		crowd(r)
+		r := newTest(&fakeWorker{answerStart: accept})
+		addTestTasks(r)
 		for range 4 {
-			show(r, 20)
+			showTail(r, 20)
 			time.Sleep(500 * time.Millisecond)
 		}
-		assert.Equal(t, r.worker.paceOf(fillingRun), pacing.Min)
+		assert.Equal(t, r.worker.paceOf(bestEffortRun), pacing.Min)
 	})
 }
 
-// TestPaceGoesByTheLoadThatTheLeadTells: the lead knows from all workers that a load is about to rise, while the figures of one
+// TestPaceUsesLoadReportedByTheLeader: the lead knows from all workers that a load is about to rise, while the figures of one
 // task on one worker do not show it yet; what it told too long ago is not used.
-func TestPaceGoesByTheLoadThatTheLeadTells(t *testing.T) {
+func TestPaceUsesLoadReportedByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
-		crowd(r)
+		r := newTest(&fakeWorker{answerStart: accept})
+		addTestTasks(r)
 		l, web := r.worker, host.Running{Run: servingRun, Percent: 100, Measurement: 5}
-		l.learn(link.Report{}, link.ReportAnswer{LoadFrequency: 0.6, Loads: map[string]link.Load{
+		l.applyAnswer(link.Report{}, link.ReportAnswer{LoadFrequency: 0.6, Loads: map[string]link.Load{
 			servingRun.Task.StepName(): {Headroom: 2, Slope: -1, Mean: 2, Deviation: 0.2},
 		}})
-		headroom, deviation := l.ahead(time.Now(), web, l.profiles[servingRun], nil)
+		headroom, deviation := l.predictHeadroom(time.Now(), web, l.profiles[servingRun], nil)
 		assert.Assert(t, headroom < 1.6 && headroom > 1.3, "%.2f", headroom)
 		assert.Equal(t, deviation, 0.2)
-		time.Sleep(loadFor + time.Millisecond)
-		headroom, _ = l.ahead(time.Now(), web, l.profiles[servingRun], nil)
+		time.Sleep(maxLoadAge + time.Millisecond)
+		headroom, _ = l.predictHeadroom(time.Now(), web, l.profiles[servingRun], nil)
 		assert.Assert(t, headroom > 1.8, "%.2f", headroom)
 	})
 }
--- a/internal/runner/start_timeout_test.go
+++ b/internal/runner/start_timeout_test.go
@@ -15,20 +15,20 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// losingWorker leaves every so many starts without an answer, and notes when each task was accepted.
-type losingWorker struct {
+// unreliableWorker leaves every so many starts without an answer, and notes when each task was accepted.
+type unreliableWorker struct {
 	fakeWorker
-	every    int
-	asked    int
-	accepted map[job.TaskID]time.Time
+	loseEvery  int
+	startCount int
+	accepted   map[job.TaskID]time.Time
 }
 
 // Start implements host.Worker.
-func (w *losingWorker) Start(ctx context.Context, _ incarnation.ID, order host.Start) (host.Refusal, error) {
+func (w *unreliableWorker) Start(ctx context.Context, _ incarnation.ID, order host.Start) (host.Refusal, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked++
-	if w.asked%w.every == 0 {
+	w.startCount++
+	if w.startCount%w.loseEvery == 0 {
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
@@ -40,13 +40,13 @@
 	return host.Accepted, nil
 }
 
-// TestStartsWithoutAnAnswerAreSoonAskedAgain plays jobs of sixteen tasks on a worker that leaves one order in twenty without an
+// TestUnansweredStartsAreRetriedSoon plays jobs of sixteen tasks on a worker that leaves one order in twenty without an
 // answer: what decides a job is its slowest task. With a patience of 600 ms, 33 of the 640
 // tasks began 680 ms late.
-func TestStartsWithoutAnAnswerAreSoonAskedAgain(t *testing.T) {
+func TestUnansweredStartsAreRetriedSoon(t *testing.T) {
 	const jobs, tasks, soon = 40, 16, 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		worker := &losingWorker{every: 20, accepted: make(map[job.TaskID]time.Time)}
+		worker := &unreliableWorker{loseEvery: 20, accepted: make(map[job.TaskID]time.Time)}
 		r := newTest(&worker.fakeWorker)
 		r.config.Worker = worker
 		// This worker lists no ends, so that all tasks count as there.
@@ -54,7 +54,7 @@
 		late := 0
 		for n := range jobs {
 			r.mu.Lock()
-			r.permitted, r.hall.told = r.config.Uptime.Now().Add(5*time.Second), r.config.Uptime.Now()
+			r.agentLeaseEnd, r.hall.confirmedAt = r.config.Uptime.Now().Add(5*time.Second), r.config.Uptime.Now()
 			r.mu.Unlock()
 			began := time.Now()
 			id := job.ID([]byte{'a' + byte(n/26), 'a' + byte(n%26)})
@@ -63,7 +63,7 @@
 				run := link.NewRun(job.TaskID{Job: id + "00000000000000", Index: i}, 1)
 				orders.Starts = append(orders.Starts, link.Start{Profile: link.Profile{Run: run, CPU: 1000}})
 			}
-			_, err := r.takeOrders(t.Context(), nil, orders)
+			_, err := r.handleOrders(t.Context(), nil, orders)
 			assert.NilError(t, err)
 			time.Sleep(2 * time.Second)
 			for i := range tasks {
--- a/internal/runner/suspended_test.go
+++ b/internal/runner/suspended_test.go
@@ -21,46 +21,46 @@
 	clock.Suspend(d)
 }
 
-// TestSuspendedAgentHoldsNoLongerThanPermitted: a lead gives runs up once a permission of 5 s is over, and places them
+// TestResumedAgentDoesNotRenewBeyondItsLease: a lead gives runs up once a permission of 5 s is over, and places them
 // elsewhere. By the steady clock an agent that wakes would hold its worker for as long again as it was suspended.
-func TestSuspendedAgentHoldsNoLongerThanPermitted(t *testing.T) {
+func TestResumedAgentDoesNotRenewBeyondItsLease(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newTest(&fakeWorker{start: accept})
+				r := newTest(&fakeWorker{answerStart: accept})
 				suspend(t, r, d)
 				// The worker answers the agent that woke, so that its clock is known as of now.
-				r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
-				left := min(holdTime, 5*time.Second-d)
+				r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
+				left := min(runLease, 5*time.Second-d)
 				want := host.Clock(0)
 				if left > 0 {
-					want = host.Clock(time.Minute) + host.Clock(clockRate*float64(left))
+					want = host.Clock(time.Minute) + host.Clock(minClockRate*float64(left))
 				}
-				assert.Equal(t, r.until(r.worker), want)
+				assert.Equal(t, r.runDeadline(r.worker), want)
 			})
 		})
 	}
 }
 
-// TestClockReadBeforeASuspensionIsNotTakenAsNewer: the worker may have stood still with its agent.
-func TestClockReadBeforeASuspensionIsNotTakenAsNewer(t *testing.T) {
+// TestClockReadBeforeSuspensionIsNotAdvanced: the worker may have stood still with its agent.
+func TestClockReadBeforeSuspensionIsNotAdvanced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
-		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
+		r := newTest(&fakeWorker{answerStart: accept})
+		r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
 		suspend(t, r, 2*time.Second)
-		assert.Equal(t, r.until(r.worker), host.Clock(time.Minute)+host.Clock(clockRate*float64(3*time.Second)))
+		assert.Equal(t, r.runDeadline(r.worker), host.Clock(time.Minute)+host.Clock(minClockRate*float64(3*time.Second)))
 	})
 }
 
-// TestAgentThatWokeStartsNothingByOldWord: neither after its permission, nor after what it was told of its hall is stale.
-func TestAgentThatWokeStartsNothingByOldWord(t *testing.T) {
+// TestResumedAgentStartsNothingOnStaleState: neither after its permission, nor after what it was told of its hall is stale.
+func TestResumedAgentStartsNothingOnStaleState(t *testing.T) {
 	for _, d := range []time.Duration{hall.StaleAfter(testClosedWithin) + time.Millisecond, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worker := &fakeWorker{start: accept}
+				worker := &fakeWorker{answerStart: accept}
 				r := newTest(worker)
 				suspend(t, r, d)
-				_, err := r.takeOrders(t.Context(), nil, startOrders())
+				_, err := r.handleOrders(t.Context(), nil, startOrders())
 				assert.NilError(t, err)
 				synctest.Wait()
 				assert.Equal(t, len(worker.started()), 0)
@@ -69,19 +69,19 @@
 	}
 }
 
-// TestWorkerThatWasSuspendedWithItsAgentIsStopped failed with the run going on for 3.5 s after both woke, by a worker's clock that had
+// TestRunsOfResumedWorkerAreStopped failed with the run going on for 3.5 s after both woke, by a worker's clock that had
 // stood still.
-func TestWorkerThatWasSuspendedWithItsAgentIsStopped(t *testing.T) {
+func TestRunsOfResumedWorkerAreStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: testRun(1)}}})
-		_, _, ok := r.nextHold()
+		r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: testRun(1)}}})
+		_, _, ok := r.nextRenewal()
 		assert.Assert(t, ok)
 		synctest.Wait()
 		assert.Equal(t, len(worker.stopped()), 0, "it is permitted")
 		suspend(t, r, 20*time.Second)
-		_, hold, _ := r.nextHold()
+		_, hold, _ := r.nextRenewal()
 		assert.Equal(t, hold.Until, host.Clock(0))
 		synctest.Wait()
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1)})
--- a/internal/runner/uplink.go
+++ b/internal/runner/uplink.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// reportEvery is the longest time between two reports.
-	reportEvery = 600 * time.Millisecond
-	// reportPatience bounds the answer to a report, which may wait for a commit.
-	reportPatience = 1100 * time.Millisecond
-	// dialPatience bounds how long a connection to the lead may take.
-	dialPatience = 500 * time.Millisecond
+	// reportInterval is the longest time between two reports.
+	reportInterval = 600 * time.Millisecond
+	// reportTimeout bounds the answer to a report, which may wait for a commit.
+	reportTimeout = 1100 * time.Millisecond
+	// dialTimeout bounds how long a connection to the lead may take.
+	dialTimeout = 500 * time.Millisecond
 )
 
-// report keeps a connection to the lead and tells it what the worker has.
-func (r *Runner) report(ctx context.Context) error {
-	pause := wait.NewBackoff(searchFirst, searchLast, r.config.Random)
+// runUplink keeps a connection to the lead and tells it what the worker has.
+func (r *Runner) runUplink(ctx context.Context) error {
+	pause := wait.NewBackoff(minSearchDelay, maxSearchDelay, r.config.Random)
 	// failed is the epoch of a leader that did not answer.
 	failed := uint64(0)
 	for ctx.Err() == nil {
-		leader, err := r.find(ctx, failed)
+		leader, err := r.findLeader(ctx, failed)
 		if err == nil {
-			wait.For(ctx, r.returnPause(leader))
+			wait.For(ctx, r.connectDelay(leader))
 			var reported bool
-			reported, err = r.follow(ctx, leader.Leader)
+			reported, err = r.reportTo(ctx, leader.Leader)
 			failed = failedEpoch(leader.Epoch, reported, err)
 			if reported {
 				pause.Reset()
-				r.storePause.Reset()
+				r.storeBackoff.Reset()
 			}
 		}
 		if ctx.Err() == nil {
 			r.logger.Warn("no lead; reason=%v", err)
-			wait.For(ctx, pause.Next()+pushedBack(err))
+			wait.For(ctx, pause.Next()+retryAfter(err))
 		}
 	}
 	return ctx.Err()
@@ -56,41 +56,41 @@
 	return epoch
 }
 
-// pushedBack returns how long a leader that refuses this agent wants it to stay away.
-func pushedBack(err error) time.Duration {
+// retryAfter returns how long a leader that refuses this agent wants it to stay away.
+func retryAfter(err error) time.Duration {
 	if fault.Is(err, fault.Overloaded) {
 		return fault.RetryAfter(err)
 	}
 	return 0
 }
 
-// follow reports to one lead until it does not answer or another leads, and returns whether it answered a report.
-func (r *Runner) follow(ctx context.Context, lead record.Leader) (bool, error) {
-	bounded, cancel := context.WithTimeout(ctx, dialPatience)
+// reportTo reports to one lead until it does not answer or another leads, and returns whether it answered a report.
+func (r *Runner) reportTo(ctx context.Context, lead record.Leader) (bool, error) {
+	bounded, cancel := context.WithTimeout(ctx, dialTimeout)
 	session, err := rpc.DialWith(bounded, r.config.Dial, lead.Address, r.config.Secret, r.mux)
 	cancel()
 	if err != nil {
 		return false, err
 	}
 	defer session.Close()
-	if err := r.adopt(session, lead); err != nil {
+	if err := r.adoptLeader(session, lead); err != nil {
 		return false, err
 	}
 	r.logger.Info("lead followed; epoch=%d node=%s", lead.Epoch, lead.Process)
 	checked, u := time.Now(), &uplink{session: session}
 	reported := false
 	for ctx.Err() == nil {
-		doubtful, err := r.tell(ctx, u)
+		doubtful, err := r.sendReport(ctx, u)
 		if err != nil {
 			return reported, err
 		}
 		if !reported {
-			r.fence(ctx)
+			r.sendFence(ctx)
 		}
 		reported = true
-		if doubtful && time.Since(checked) > doubtEvery {
+		if doubtful && time.Since(checked) > leaderCheckInterval {
 			checked = time.Now()
-			if now, err := r.askEntries(ctx, link.Leader{After: lead.Epoch, AtOnce: true}); err == nil && now.Epoch > lead.Epoch {
+			if now, err := r.queryEntries(ctx, link.Leader{After: lead.Epoch, AtOnce: true}); err == nil && now.Epoch > lead.Epoch {
 				return reported, fault.New(fault.Stale, "epoch %d leads in place of %d", now.Epoch, lead.Epoch)
 			}
 		}
@@ -98,65 +98,65 @@
 		case <-ctx.Done():
 		case <-session.Done():
 			return reported, fault.New(fault.Unavailable, "the lead closed the connection")
-		case <-r.changed:
-		case <-time.After(reportEvery):
+		case <-r.reportDue:
+		case <-time.After(reportInterval):
 		}
 	}
 	return reported, ctx.Err()
 }
 
-// adopt binds the agent to a lead; it never goes back to an earlier epoch.
-func (r *Runner) adopt(session *rpc.Peer, lead record.Leader) error {
+// adoptLeader binds the agent to a lead; it never goes back to an earlier epoch.
+func (r *Runner) adoptLeader(session *rpc.Peer, lead record.Leader) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if lead.Epoch < r.epoch {
 		return fault.New(fault.Stale, "epoch %d is earlier than %d", lead.Epoch, r.epoch)
 	}
 	if lead.Epoch > r.epoch && r.worker != nil {
-		r.worker.drop()
+		r.worker.cancelOrders()
 	}
 	r.epoch, r.session = lead.Epoch, session
-	r.hall.followed = r.config.Uptime.Now()
+	r.hall.connectedAt = r.config.Uptime.Now()
 	return nil
 }
 
 // uplink is a connection to a lead, with what that knows by it.
 type uplink struct {
 	session *rpc.Peer
-	// rows is nil until the lead has shown that it reads rows, list is which list of entries it told last.
-	rows *link.RowWriter
-	list uint64
+	// rowWriter is nil until the lead has shown that it reads rowWriter, list is which list of entries it told last.
+	rowWriter *link.RowWriter
+	entryList uint64
 }
 
-// shorten leaves out of a report what the lead has by this connection.
-func (u *uplink) shorten(report *link.Report) {
-	report.List = u.list
-	if u.rows != nil {
-		report.Rows, report.Named = u.rows.Write(report.Running)
+// compact leaves out of a report what the lead has by this connection.
+func (u *uplink) compact(report *link.Report) {
+	report.List = u.entryList
+	if u.rowWriter != nil {
+		report.Rows, report.Named = u.rowWriter.Write(report.Running)
 		report.Running = nil
 	}
 }
 
-// answered takes note of what the lead has by this connection.
-func (u *uplink) answered(answer link.ReportAnswer) {
-	u.list = answer.List
-	if u.list > 0 && u.rows == nil {
-		u.rows = link.NewRowWriter()
+// applyAnswer takes note of what the lead has by this connection.
+func (u *uplink) applyAnswer(answer link.ReportAnswer) {
+	u.entryList = answer.List
+	if u.entryList > 0 && u.rowWriter == nil {
+		u.rowWriter = link.NewRowWriter()
 	}
 }
 
-// tell sends one report and takes the answer; without one the connection is of no use any more.
-func (r *Runner) tell(ctx context.Context, u *uplink) (bool, error) {
+// sendReport sends one report and takes the answer; without one the connection is of no use any more.
+func (r *Runner) sendReport(ctx context.Context, u *uplink) (bool, error) {
 	sent := r.config.Uptime.Now()
 	report, w := r.compose()
-	u.shorten(&report)
-	bounded, cancel := context.WithTimeout(ctx, reportPatience)
+	u.compact(&report)
+	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	answer, err := rpc.Call[link.Report, link.ReportAnswer](bounded, u.session, link.MethodReport, report)
 	if err != nil {
 		return false, err
 	}
-	u.answered(answer)
+	u.applyAnswer(answer)
 	if len(answer.Entries) > 0 {
 		r.config.Pool.Learn(answer.Entries)
 	}
@@ -169,40 +169,40 @@
 	if r.fences.grant(r.epoch, answer.FirstFence, answer.LastFence) {
 		wait.Notify(r.heartbeat)
 	}
-	r.hall.learn(answer.Hall, sent)
-	r.crashes.committed(answer.AcknowledgedCrashes)
-	if w != nil && w == r.worker && !r.permitted.IsZero() && sent.After(r.permitted) {
-		r.forsake(w)
+	r.hall.update(answer.Hall, sent)
+	r.crashes.acknowledge(answer.AcknowledgedCrashes)
+	if w != nil && w == r.worker && !r.agentLeaseEnd.IsZero() && sent.After(r.agentLeaseEnd) {
+		r.withdrawStarts(w)
 	}
-	if until := sent.Add(time.Duration(answer.LeaseMillis) * time.Millisecond); until.After(r.permitted) {
-		r.permitted = until
+	if until := sent.Add(time.Duration(answer.LeaseMillis) * time.Millisecond); until.After(r.agentLeaseEnd) {
+		r.agentLeaseEnd = until
 	}
 	if w != nil && w == r.worker {
-		w.learn(report, answer)
-		wait.Notify(r.settled)
+		w.applyAnswer(report, answer)
+		wait.Notify(r.endsAcknowledged)
 	}
 	return answer.Unverified, nil
 }
 
-// forsake takes back all starts under way: the permission was over meanwhile, so that the lead may have given their runs
+// withdrawStarts takes back all starts under way: the permission was over meanwhile, so that the lead may have given their runs
 // up and placed them elsewhere. A start that is on its way to the worker is late by its own time.
-func (r *Runner) forsake(w *workerState) {
+func (r *Runner) withdrawStarts(w *workerState) {
 	for run, o := range w.orders {
 		if o.start != nil && !o.final {
 			r.logger.Warn("start is taken back after the permission was over; task=%s run=%d", run.Task, run.Number)
-			r.end(w, run)
+			r.stopRun(w, run)
 		}
 	}
 }
 
-// learn stores what the leader has committed and knows.
-func (w *workerState) learn(report link.Report, answer link.ReportAnswer) {
+// applyAnswer stores what the leader has committed and knows.
+func (w *workerState) applyAnswer(report link.Report, answer link.ReportAnswer) {
 	if report.Fenced {
-		w.seen = max(w.seen, answer.AcknowledgedEnds)
+		w.acknowledgedEnds = max(w.acknowledgedEnds, answer.AcknowledgedEnds)
 	}
-	w.foreign = answer.UnknownService && report.Service == w.report.Service
-	w.profile(answer.Profiles)
-	w.presses, w.swing, w.starved = answer.Interference, answer.LoadFrequency, answer.Backlog
+	w.unknownService = answer.UnknownService && report.Service == w.report.Service
+	w.addProfiles(answer.Profiles)
+	w.interference, w.loadFrequency, w.backlog = answer.Interference, answer.LoadFrequency, answer.Backlog
 	w.loads = loadsOf(answer.Loads, time.Now())
 	for _, rejected := range report.Rejected {
 		if run, ok := parseRun(rejected.Run); ok && w.orders[run] != nil && w.orders[run].final {
@@ -224,7 +224,7 @@
 func (r *Runner) compose() (link.Report, *workerState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	report := link.Report{VM: r.config.VM, Hall: r.config.Hall, Epoch: r.epoch, Crashes: r.crashes.tell()}
+	report := link.Report{VM: r.config.VM, Hall: r.config.Hall, Epoch: r.epoch, Crashes: r.crashes.compose()}
 	w := r.worker
 	if w == nil {
 		return report, nil
@@ -233,15 +233,15 @@
 	report.Instance, report.StartMillis, report.Service, report.Labels = w.id.Worker(), w.id.StartMillis(), own.Service, own.Labels
 	report.CPU, report.Memory, report.GPU = own.Capacity.CPU, own.Capacity.Memory, own.Capacity.GPU
 	report.Draining, report.RemainingMillis = own.Draining, own.Remaining.Milliseconds()
-	report.Silent, report.FirstFailureMillis = w.silent, brokenMillis(w.broken)
-	report.Lapsed = w.silent && (w.gone || time.Now().After(w.until))
-	report.Fenced = w.views > 0 && r.fences.covers(w.fenced, r.epoch)
-	w.describe(&report)
+	report.Silent, report.FirstFailureMillis = w.silent, millisSince(w.firstFailure)
+	report.Lapsed = w.silent && (w.idChanged || time.Now().After(w.leaseEnd))
+	report.Fenced = w.views > 0 && r.fences.covers(w.highestFence, r.epoch)
+	w.addRuns(&report)
 	return report, w
 }
 
-// describe adds the runs of the latest view and the orders that are not settled.
-func (w *workerState) describe(report *link.Report) {
+// addRuns adds the runs of the latest view and the orders that are not settled.
+func (w *workerState) addRuns(report *link.Report) {
 	shown := make(map[host.Run]bool, len(w.view.Ended)+len(w.view.Running))
 	for _, e := range w.view.Ended {
 		shown[e.Run] = true
@@ -256,12 +256,12 @@
 		}
 		report.Running = append(report.Running, link.Running{
 			Run: wireRun(running.Run), Percent: running.Percent, Measurement: running.Measurement,
-			Pace: w.paceOf(running.Run), Checkpoint: running.Checkpoint, Fresh: w.begun.fresh(running.Run),
+			Pace: w.paceOf(running.Run), Checkpoint: running.Checkpoint, Fresh: w.possibleRuns.fresh(running.Run),
 		})
 	}
 	for run, o := range w.orders {
 		switch {
-		case !o.final || !o.shownBy(w.views):
+		case !o.final || !o.coveredBy(w.views):
 			report.Pending = append(report.Pending, wireRun(run))
 		case !shown[run]:
 			report.Rejected = append(report.Rejected, link.Rejected{Run: wireRun(run), Refusal: int(o.refused)})
--- a/internal/runner/uplink_test.go
+++ b/internal/runner/uplink_test.go
@@ -9,14 +9,14 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestReportsAreShortenedOnceTheLeadReadsRows, and a lead of the release before, which numbers no list of entries, is told all each time.
-func TestReportsAreShortenedOnceTheLeadReadsRows(t *testing.T) {
+// TestReportsUseRowsOnceTheLeaderReadsThem, and a lead of the release before, which numbers no list of entries, is told all each time.
+func TestReportsUseRowsOnceTheLeaderReadsThem(t *testing.T) {
 	running := []link.Running{{Run: link.NewRun(job.TaskID{Job: "00000000000000aa"}, 1), Percent: 7}}
 	for list, rows := range map[uint64]int{0: 0, 3: 1} {
 		u := &uplink{}
 		for n := range 3 {
 			report := link.Report{Running: running}
-			u.shorten(&report)
+			u.compact(&report)
 			if n == 0 {
 				assert.Equal(t, len(report.Running), 1, "nothing is known of the lead")
 			} else {
@@ -24,7 +24,7 @@
 				assert.Equal(t, len(report.Running), 1-rows)
 				assert.Equal(t, report.List, list)
 			}
-			u.answered(link.ReportAnswer{List: list})
+			u.applyAnswer(link.ReportAnswer{List: list})
 		}
 	}
 }
