--- a/internal/runner/candidates.go
+++ b/internal/runner/candidates.go
@@ -11,16 +11,16 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// maxEnded is how many ended incarnations an agent remembers; a report is held up for seconds, an incarnation lasts longer.
+// maxEnded is how many ended incarnations an agent remembers; a report is delayed by seconds at most, an incarnation lasts longer.
 const maxEnded = 16
 
-// endedIncarnations are the latest incarnations of the worker that have ended; none of them returns.
+// endedIncarnations are the latest incarnations of the worker that have ended; none of them can return.
 type endedIncarnations []incarnation.ID
 
 // has reports whether an incarnation is known to have ended.
 func (e endedIncarnations) has(id incarnation.ID) bool { return slices.Contains(e, id) }
 
-// hasWorker reports whether an incarnation under the same id is known to have ended.
+// hasWorker reports whether an incarnation with the same worker id is known to have ended.
 func (e endedIncarnations) hasWorker(id incarnation.ID) bool {
 	return slices.ContainsFunc(e, func(ended incarnation.ID) bool { return ended.SameWorker(id) })
 }
@@ -33,10 +33,10 @@
 	}
 }
 
-// maxCandidates bounds the candidates that wait: each takes one call, and one that is left out reports again within about a second.
+// maxCandidates bounds the candidates to verify: each takes one call, and one left out reports again within about a second.
 const maxCandidates = 16
 
-// findCandidate returns the findCandidate of an incarnation, nil where there is none.
+// findCandidate returns the candidate with an incarnation, nil if there is none.
 func (r *Runner) findCandidate(id incarnation.ID) *workerState {
 	for _, c := range r.candidates {
 		if c.id == id {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// addCandidate adds an incarnation that reports itself beside the present one. Reports may have been held up until their sender was gone, so the
-// worker is asked which of the two it is.
+// addCandidate adds an incarnation that reports beside the current one. Its report may have been delayed until after its end, so the worker is
+// asked which of the two it is.
 func (r *Runner) addCandidate(report host.Report, now time.Time) {
 	if c := r.findCandidate(report.Incarnation); c != nil {
 		c.updateReport(report)
@@ -56,16 +56,16 @@
 	if len(r.candidates) == maxCandidates {
 		return
 	}
-	r.logger.Info("another incarnation of the worker reports; instance=%s present=%s", report.Incarnation, r.worker.id)
+	r.logger.Info("report of another incarnation received; instance=%s present=%s", report.Incarnation, r.worker.id)
 	r.candidates = append(r.candidates, newWorkerState(report, now))
 	r.raiseFence()
 	wait.Notify(r.candidateAdded)
 }
 
-// verifyCandidates asks the worker which incarnation it is whenever another than the present one reports.
+// verifyCandidates asks the worker which incarnation it is whenever one other than the current one reports.
 func (r *Runner) verifyCandidates(ctx context.Context) error {
 	for ctx.Err() == nil {
-		candidate, hold := r.nextCandidate()
+		candidate, renewal := r.nextCandidate()
 		if candidate == nil {
 			select {
 			case <-ctx.Done():
@@ -73,19 +73,19 @@
 			}
 			continue
 		}
-		view, refusal, err := r.config.Worker.Renew(ctx, candidate.id, hold)
+		view, refusal, err := r.config.Worker.Renew(ctx, candidate.id, renewal)
 		undecided := err != nil && !fault.Is(err, fault.Stale) || err == nil && refusal != host.Accepted
 		if undecided {
-			// A refusal says nothing of the incarnation: another call may have shown a higher fence meanwhile.
+			// A refusal does not identify the incarnation: another call may have sent a higher fence meanwhile.
 			r.awaitRetry(ctx)
 			continue
 		}
-		r.resolveCandidate(candidate, err == nil && view.Incarnation == candidate.id, hold.Fence, view)
+		r.resolveCandidate(candidate, err == nil && view.Incarnation == candidate.id, renewal.Fence, view)
 	}
 	return ctx.Err()
 }
 
-// nextCandidate returns the candidate to ask for, nil where there is none, and a hold that renews and acknowledges nothing.
+// nextCandidate returns the next candidate to verify, nil if there is none, and a renewal that extends and acknowledges nothing.
 func (r *Runner) nextCandidate() (*workerState, host.Renewal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +95,8 @@
 	return r.candidates[0], host.Renewal{Fence: r.fences.current}
 }
 
-// resolveCandidate replaces the present incarnation by a candidate that answered, or drops the candidate. Each is decided by its own answer, so that
-// reports of unknown senders, however many, do not hold the true one up.
+// resolveCandidate replaces the current incarnation by a candidate that answered, or discards the candidate. Each is resolved by its own answer,
+// so that no number of reports from unknown senders delays the real one.
 func (r *Runner) resolveCandidate(candidate *workerState, answered bool, fence uint64, view host.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,11 +109,11 @@
 		r.replaceWorker(candidate)
 		return
 	}
-	r.logger.Warn("report of another incarnation is ignored; instance=%s present=%s", candidate.id, r.worker.id)
+	r.logger.Warn("report of another incarnation ignored; instance=%s present=%s", candidate.id, r.worker.id)
 	r.ended.add(candidate.id)
 }
 
-// replaceWorker makes an incarnation the present one. Nothing that is known of the one before holds for it.
+// replaceWorker makes an incarnation the current one; no state of the previous one is kept.
 func (r *Runner) replaceWorker(next *workerState) {
 	now := time.Now()
 	r.logger.Info("worker has a new incarnation; instance=%s previous=%s", next.id, r.worker.id)
@@ -123,19 +123,19 @@
 	r.recordPendingStarts(r.worker, now)
 	r.worker.cancelOrders()
 	if next.id.SameWorker(r.worker.id) {
-		// A call meant for the one before may have set its lease, by a time of another clock.
+		// A renewal for the previous incarnation may have reached this one and set its lease by the other clock.
 		next.leaseEnd = now.Add(r.config.LongestHold)
 	}
 	r.worker = next
 	for _, run := range r.lateStartRuns(next.id, now) {
-		r.logger.Info("late start of an earlier incarnation is stopped; task=%s run=%d instance=%s", run.Task, run.Number, next.id)
+		r.logger.Info("stopping a late start sent to a previous incarnation; task=%s run=%d instance=%s", run.Task, run.Number, next.id)
 		r.stopRun(next, run)
 	}
 	wait.Notify(r.heartbeat)
 	wait.Notify(r.reportDue)
 }
 
-// recordPendingStarts records the starts that are under way on an incarnation that has ended.
+// recordPendingStarts records the starts in progress on an incarnation that has ended as late starts.
 func (r *Runner) recordPendingStarts(w *workerState, now time.Time) {
 	for run, o := range w.orders {
 		if o.start != nil && !o.final {
@@ -144,8 +144,8 @@
 	}
 }
 
-// terminate marks the present incarnation as ended; its runs are lost. Where the worker has started again under the same id, its lease is not
-// taken as lapsed before the next incarnation reports, so that starts on their way can be stopped there.
+// terminate marks the current incarnation as ended and its runs as lost. If the worker has restarted under the same id, its lease does not count as
+// expired before the next incarnation reports, so that late starts can be stopped there.
 func (r *Runner) terminate(w *workerState, sameID bool) {
 	if !w.terminated {
 		r.logger.Warn("worker incarnation ended; instance=%s same_id=%t", w.id, sameID)
--- a/internal/runner/candidates_test.go
+++ b/internal/runner/candidates_test.go
@@ -16,7 +16,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// startLoops lets an agent hold its worker and find out which life is there, until the test ends.
+// startLoops runs the loops that renew the lease and verify candidates until the test ends.
 func startLoops(t *testing.T, r *Runner) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -28,7 +28,7 @@
 	})
 }
 
-// TestDelayedReportDoesNotRestorePreviousIncarnation failed with i-1 in place of i-2: whichever life reported last was taken to be there.
+// TestDelayedReportDoesNotRestorePreviousIncarnation failed with i-1 in place of i-2: the incarnation that reported last became the current one.
 func TestDelayedReportDoesNotRestorePreviousIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID}
@@ -39,7 +39,7 @@
 		time.Sleep(time.Second)
 		report, _ := r.compose()
 		assert.Equal(t, report.Instance, "i-2")
-		assert.Assert(t, r.Reported(host.Report{Incarnation: testID, Sequence: 9}), "it is acknowledged, so that it is not sent again")
+		assert.Assert(t, r.Reported(host.Report{Incarnation: testID, Sequence: 9}), "the report is acknowledged so that it is not sent again")
 		time.Sleep(time.Second)
 		report, _ = r.compose()
 		assert.Equal(t, report.Instance, "i-2")
@@ -47,7 +47,7 @@
 	})
 }
 
-// TestReportOfUnknownIncarnationIsVerified failed as above: an agent that started after the crash had not heard of i-1 before.
+// TestReportOfUnknownIncarnationIsVerified failed in the same way: an agent that started after the crash did not know i-1.
 func TestReportOfUnknownIncarnationIsVerified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID}
@@ -61,7 +61,7 @@
 	})
 }
 
-// TestFirstReportMayBeOfEndedIncarnation: the life that is there takes its place as soon as it reports.
+// TestFirstReportMayBeOfEndedIncarnation guards against keeping an ended incarnation: the current one replaces it with its first report.
 func TestFirstReportMayBeOfEndedIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: incarnation.New("i-2", 0)}
@@ -69,7 +69,7 @@
 		startLoops(t, r)
 		time.Sleep(time.Second)
 		report, _ := r.compose()
-		assert.Assert(t, report.Lapsed, "what ran in a life that is over is gone")
+		assert.Assert(t, report.Lapsed, "the runs of an ended incarnation are lost")
 		r.Reported(host.Report{Incarnation: incarnation.New("i-2", 0), Sequence: 1})
 		time.Sleep(time.Second)
 		report, _ = r.compose()
@@ -86,7 +86,7 @@
 	assert.Equal(t, len(ended), maxEnded)
 }
 
-// TestNewFenceIsSentDuringAWaitingRenewal failed with reports that a new lead could not use for up to half a second.
+// TestNewFenceIsSentDuringAWaitingRenewal failed with reports that a new leader could not use for up to half a second.
 func TestNewFenceIsSentDuringAWaitingRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{current: testID})
@@ -113,8 +113,8 @@
 	assert.Equal(t, report.Running[0].Number, 2)
 }
 
-// TestUnknownSendersDoNotDelayNextIncarnation: claims came in one place, where the next one took the place of the true one before
-// the worker was asked; it was decided only if nobody else claimed meanwhile.
+// TestUnknownSendersDoNotDelayNextIncarnation failed because there was one slot for a candidate: each report of another incarnation replaced the
+// real candidate before the worker was asked, so it was resolved only if no other sender reported meanwhile.
 func TestUnknownSendersDoNotDelayNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID, refusalDelay: 20 * time.Millisecond}
@@ -134,7 +134,7 @@
 	})
 }
 
-// TestReportOfAnotherServiceIsIgnored of the life under whose name it comes, and is not acknowledged.
+// TestReportOfAnotherServiceIsIgnored checks that such a report changes nothing of the incarnation that it names, and is not acknowledged.
 func TestReportOfAnotherServiceIsIgnored(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	before := r.worker.report
@@ -143,7 +143,7 @@
 	assert.Assert(t, r.Reported(host.Report{Incarnation: testID, Service: "s", Sequence: 2, Capacity: before.Capacity}))
 }
 
-// TestCandidatesAreBounded: those that are left out come again with the next report.
+// TestCandidatesAreBounded checks the bound; a candidate left out returns with its next report.
 func TestCandidatesAreBounded(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	for n := range 3 * maxCandidates {
@@ -152,27 +152,27 @@
 	assert.Equal(t, len(r.candidates), maxCandidates)
 }
 
-// TestFirstReportOfUnknownServiceIsReplaced once the lead says that no configuration names its service, with all that it told: its sequence
-// is no bound for the worker's own, nor does it drain for good.
+// TestFirstReportOfUnknownServiceIsReplaced once the leader reports that no configuration names its service. Nothing of it is kept: its sequence does
+// not bound the worker's own, and its draining flag is dropped.
 func TestFirstReportOfUnknownServiceIsReplaced(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	r.worker = newWorkerState(host.Report{Incarnation: testID, Service: "other", Sequence: 4000, Draining: true}, time.Now())
 	own := host.Report{Incarnation: testID, Service: "s", Sequence: 2, Capacity: job.Size{CPU: 8000, Memory: 16000}}
-	assert.Assert(t, !r.Reported(own), "either may be true")
+	assert.Assert(t, !r.Reported(own), "either report may be the worker's")
 	r.worker.applyAnswer(link.Report{Service: "s"}, link.ReportAnswer{UnknownService: true})
-	assert.Assert(t, !r.Reported(own), "the lead spoke of another report")
+	assert.Assert(t, !r.Reported(own), "the leader's answer is for another report")
 	r.worker.applyAnswer(link.Report{Service: "other"}, link.ReportAnswer{UnknownService: true})
 	assert.Assert(t, r.Reported(own))
 	assert.DeepEqual(t, r.worker.report, own, sameIncarnation)
 	assert.Assert(t, !r.Reported(host.Report{Incarnation: testID, Service: "other", Sequence: 4001}))
 }
 
-// TestRefusedCallDoesNotResolveCandidate plays a passage of the restart checker: a task neither ran nor was done, since an agent ignored its worker
-// for as long as that lived.
+// TestRefusedCallDoesNotResolveCandidate reproduces a failure of the restart checker: a task neither ran nor ended, since an agent ignored its worker
+// for the whole incarnation.
 //
-// Order of events: the next incarnation reports; it refuses the call by which the agent asks for it, since another call has shown a higher fence
-// meanwhile, or since it is not well yet. Cause: a refusal counted as the answer of another incarnation, and what was refused counted as ended.
-// Evidence: "report of another incarnation is ignored" of the incarnation that was there, then "report of an ended incarnation" until the end.
+// Order of events: the next incarnation reports; it refuses the call that verifies it, since another call has sent a higher fence meanwhile, or since
+// it is still starting. Cause: the refusal counted as the answer of another incarnation, and the candidate as ended. Evidence: the log line for an
+// ignored report of another incarnation, for the incarnation that was running, then those for reports of an ended incarnation until the test ended.
 func TestRefusedCallDoesNotResolveCandidate(t *testing.T) {
 	for _, refusal := range []host.Refusal{host.RefusedFence, host.RefusedBusy} {
 		t.Run(refusal.String(), func(t *testing.T) {
--- a/internal/runner/capacity.go
+++ b/internal/runner/capacity.go
@@ -6,32 +6,32 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// reservationOf returns what a run takes of its worker's room.
+// reservationOf returns the part of a worker's capacity that a run reserves.
 func reservationOf(p link.Profile) job.Size {
 	step := job.Step{Size: job.Size{CPU: p.CPU, Memory: p.Memory, GPU: p.GPU}, BestEffort: p.BestEffort}
 	return step.Reservation()
 }
 
-// reserved returns the room of all that the worker may have: what runs, what is being stopped, and what is on its way there.
+// reserved returns the total reservation of all runs that the worker may have: running, stopping, or with a start in progress.
 func (w *workerState) reserved() job.Size {
-	var taken job.Size
+	var total job.Size
 	for run := range w.possibleRuns {
-		taken = taken.Plus(reservationOf(w.profiles[run]))
+		total = total.Plus(reservationOf(w.profiles[run]))
 	}
 	for run, o := range w.orders {
 		if w.possibleRuns[run] == nil && o.start != nil && !o.final {
-			taken = taken.Plus(reservationOf(o.start.Profile))
+			total = total.Plus(reservationOf(o.start.Profile))
 		}
 	}
-	return taken
+	return total
 }
 
-// fits reports whether a start leaves the worker within the room that it says it has now. The lead plans by what it was told
-// last; meanwhile the room may have shrunk, and a worker that does not guard it would be brought over it.
+// fits reports whether a start stays within the worker's capacity as last reported to the agent. The leader may have planned by a capacity that has
+// shrunk since, and a worker without a check of its own would exceed it.
 func (w *workerState) fits(run host.Run, start *link.Start) bool {
 	if w.possibleRuns[run] != nil {
 		return true
 	}
-	asked := reservationOf(start.Profile)
-	return asked == job.Size{} || w.reserved().Plus(asked).Fits(w.report.Capacity)
+	requested := reservationOf(start.Profile)
+	return requested == job.Size{} || w.reserved().Plus(requested).Fits(w.report.Capacity)
 }
--- a/internal/runner/capacity_test.go
+++ b/internal/runner/capacity_test.go
@@ -11,40 +11,40 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// ordersOfSize returns orders to start the next runs of the test's task, each of a size.
-func ordersOfSize(size job.Size, fills bool, numbers ...int) link.Orders {
+// ordersOfSize returns orders to start the first run of several tasks, each of a size.
+func ordersOfSize(size job.Size, bestEffort bool, indexes ...int) link.Orders {
 	orders := link.Orders{Epoch: 3, Instance: "i-1"}
-	for _, n := range numbers {
+	for _, index := range indexes {
 		id := testTask
-		id.Index = n
+		id.Index = index
 		orders.Starts = append(orders.Starts, link.Start{Profile: link.Profile{
-			Run: link.NewRun(id, 1), CPU: size.CPU, Memory: size.Memory, GPU: size.GPU, BestEffort: fills,
+			Run: link.NewRun(id, 1), CPU: size.CPU, Memory: size.Memory, GPU: size.GPU, BestEffort: bestEffort,
 		}})
 	}
 	return orders
 }
 
-// refusals returns how each run that the agent refused was refused.
+// refusals returns the refusals of the agent by the index of the task.
 func refusals(r *Runner) map[int]host.Refusal {
-	found := make(map[int]host.Refusal)
+	refused := make(map[int]host.Refusal)
 	for run, o := range r.worker.orders {
 		if o.final {
-			found[run.Task.Index] = o.refused
+			refused[run.Task.Index] = o.refused
 		}
 	}
-	return found
+	return refused
 }
 
-// setCapacity lets the worker say that it has another room now.
-func setCapacity(r *Runner, room job.Size) {
+// setCapacity reports another capacity of the worker.
+func setCapacity(r *Runner, capacity job.Size) {
 	next := r.worker.report
 	next.Sequence++
-	next.Capacity = room
+	next.Capacity = capacity
 	r.Reported(next)
 }
 
-// TestStartBeyondReducedCapacityIsRefused failed with all three starts on a worker that does not guard its room: the lead had
-// planned them by the room that it was told of before.
+// TestStartBeyondReducedCapacityIsRefused failed with all three starts on a worker that does not check its capacity: the leader had planned them by
+// the capacity reported before.
 func TestStartBeyondReducedCapacityIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -80,7 +80,7 @@
 	})
 }
 
-// TestBestEffortTaskReservesNoProcessors of a room that has shrunk, but memory.
+// TestBestEffortTaskReservesNoProcessors checks starts on a worker of reduced capacity: best-effort tasks reserve only memory.
 func TestBestEffortTaskReservesNoProcessors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -94,18 +94,18 @@
 	})
 }
 
-// TestCapacityChangeIsReportedAtOnce: the lead hears of it with the next report, which does not wait.
+// TestCapacityChangeIsReportedAtOnce checks that the next report, with the new capacity, is sent without delay.
 func TestCapacityChangeIsReportedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
-		for _, room := range []job.Size{{CPU: 1000, Memory: 100}, {CPU: 4000, Memory: 1000}} {
+		for _, capacity := range []job.Size{{CPU: 1000, Memory: 100}, {CPU: 4000, Memory: 1000}} {
 			for len(r.reportDue) > 0 {
 				<-r.reportDue
 			}
-			setCapacity(r, room)
+			setCapacity(r, capacity)
 			assert.Equal(t, len(r.reportDue), 1)
 			report, _ := r.compose()
-			assert.Equal(t, report.CPU, room.CPU)
+			assert.Equal(t, report.CPU, capacity.CPU)
 		}
 	})
 }
--- a/internal/runner/crashes.go
+++ b/internal/runner/crashes.go
@@ -7,89 +7,88 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// recordEnd records the end of an incarnation for the leader: by a crash, unless the worker had reported that it would leave. One that never
-// answered may be an invention of an unknown sender.
+// recordEnd queues the end of an incarnation for the leader: a crash, unless the worker had reported that it would leave. An incarnation that
+// never answered is not reported, since an unknown sender may have invented it.
 func (r *Runner) recordEnd(w *workerState) {
 	if w.endRecorded || w.views == 0 {
 		return
 	}
 	w.endRecorded = true
-	told := link.Crash{Instance: w.id.Worker(), StartMillis: w.id.StartMillis(), Planned: w.left || w.report.Draining}
-	if !told.Planned {
-		told.Runs = r.crashedRuns(w)
+	crash := link.Crash{Instance: w.id.Worker(), StartMillis: w.id.StartMillis(), Planned: w.left || w.report.Draining}
+	if !crash.Planned {
+		crash.Runs = r.crashedRuns(w)
 	}
-	for _, forgotten := range r.crashes.add(told, w.firstFailure) {
-		r.logger.Warn("a crash is forgotten that no lead has committed; instance=%s runs=%d", forgotten.crash.Instance, len(forgotten.crash.Runs))
+	for _, discarded := range r.crashes.add(crash, w.firstFailure) {
+		r.logger.Warn("crash discarded before a leader committed it; instance=%s runs=%d", discarded.crash.Instance, len(discarded.crash.Runs))
 	}
 }
 
-// crashedRuns returns the runs that an incarnation may have had when it crashed. A crash under none is reported too: the leader may have
-// placed work there that never arrived, which is not lost with it then.
+// crashedRuns returns the runs that an incarnation may have had when it crashed. A crash without runs is reported too: work that the leader
+// placed there but that never arrived is then not lost.
 func (r *Runner) crashedRuns(w *workerState) []link.CrashedRun {
 	runs := w.possibleRuns.runsAtEnd(time.Now())
-	told := make([]link.CrashedRun, 0, len(runs))
+	crashed := make([]link.CrashedRun, 0, len(runs))
 	for _, run := range runs {
 		if w.runsOnNext[run] {
-			// The crash was before it began.
+			// The run was started on the next incarnation, after the crash.
 			continue
 		}
-		b := w.possibleRuns[run]
-		age := b.ageAt(w.firstFailure).Milliseconds()
-		settled := b.listed() && w.orders[run] == nil && !r.lateStarts.Has(lateStart{worker: w.id.Worker(), run: run}, time.Now())
-		r.logger.Info("the worker crashed under a run; task=%s run=%d instance=%s answered=%t settled=%t age_ms=%d",
-			run.Task, run.Number, w.id, b.answered, settled, age)
-		told = append(told, link.CrashedRun{Run: wireRun(run), Answered: b.answered, Settled: settled, AgeMillis: age})
+		known := w.possibleRuns[run]
+		age := known.ageAt(w.firstFailure).Milliseconds()
+		settled := known.listed() && w.orders[run] == nil && !r.lateStarts.Has(lateStart{worker: w.id.Worker(), run: run}, time.Now())
+		r.logger.Info("worker crashed under a run; task=%s run=%d instance=%s answered=%t settled=%t age_ms=%d",
+			run.Task, run.Number, w.id, known.answered, settled, age)
+		crashed = append(crashed, link.CrashedRun{Run: wireRun(run), Answered: known.answered, Settled: settled, AgeMillis: age})
 	}
-	r.logger.Warn("the worker crashed; instance=%s runs=%d", w.id, len(runs))
-	return told
+	r.logger.Warn("worker crashed; instance=%s runs=%d", w.id, len(runs))
+	return crashed
 }
 
-// maxCrashes is how many crashes an agent keeps for the lead: as many lives as a worker had in a minute in which each was
-// crashed as it began.
+// maxCrashes is how many unacknowledged crashes an agent keeps: as many incarnations as a worker had in a minute in which each crashed at its start.
 const maxCrashes = 20
 
-// crashes are those that no lead has committed yet.
+// crashes are the ends of incarnations that no leader has committed yet.
 type crashes struct {
 	unacknowledged []pendingCrash
 	lastNumber     uint64
 }
 
-// pendingCrash is a crash with when the calls to the worker broke off, zero where that is not known.
+// pendingCrash is a crash with the time of the first failed call to the worker, zero if unknown.
 type pendingCrash struct {
 	crash        link.Crash
 	firstFailure time.Time
 }
 
-// millisSince returns how long ago calls broke off, 0 where they did not.
-func millisSince(broken time.Time) int64 {
-	if broken.IsZero() {
+// millisSince returns how long ago the first call failed, 0 for none; it is at least 1 otherwise.
+func millisSince(failedAt time.Time) int64 {
+	if failedAt.IsZero() {
 		return 0
 	}
-	return max(time.Since(broken).Milliseconds(), 1)
+	return max(time.Since(failedAt).Milliseconds(), 1)
 }
 
-// compose returns all of them as of now.
+// compose returns all unacknowledged crashes for a report sent now.
 func (c *crashes) compose() []link.Crash {
-	var told []link.Crash
+	var reported []link.Crash
 	for _, u := range c.unacknowledged {
 		u.crash.FirstFailureMillis = millisSince(u.firstFailure)
-		told = append(told, u.crash)
+		reported = append(reported, u.crash)
 	}
-	return told
+	return reported
 }
 
-// add keeps a crash until a lead has committed it, and returns those that are forgotten for it.
-func (c *crashes) add(told link.Crash, broken time.Time) []pendingCrash {
+// add keeps a crash until a leader has committed it, and returns the crashes discarded to make room for it.
+func (c *crashes) add(crash link.Crash, firstFailure time.Time) []pendingCrash {
 	c.lastNumber++
-	told.Number = c.lastNumber
-	c.unacknowledged = append(c.unacknowledged, pendingCrash{crash: told, firstFailure: broken})
+	crash.Number = c.lastNumber
+	c.unacknowledged = append(c.unacknowledged, pendingCrash{crash: crash, firstFailure: firstFailure})
 	extra := max(len(c.unacknowledged)-maxCrashes, 0)
-	forgotten := c.unacknowledged[:extra:extra]
+	discarded := c.unacknowledged[:extra:extra]
 	c.unacknowledged = slices.Clone(c.unacknowledged[extra:])
-	return forgotten
+	return discarded
 }
 
-// acknowledge forgets what a lead has acknowledge.
+// acknowledge removes the crashes that a leader has committed, up to a number.
 func (c *crashes) acknowledge(number uint64) {
 	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(u pendingCrash) bool { return u.crash.Number <= number })
 }
--- a/internal/runner/diagnostics.go
+++ b/internal/runner/diagnostics.go
@@ -7,52 +7,52 @@
 	"github.com/saffronpulley/saffronpulley/internal/incarnation"
 )
 
-// ignoredLogInterval bounds the log lines about what an agent ignores of its worker; all of it is counted.
+// ignoredLogInterval is the minimum time between log lines about ignored messages of the worker; all are counted.
 const ignoredLogInterval = 2 * time.Second
 
-// logOutdated logs an answer or a report of the worker that is ignored because a later one is known.
-func (r *Runner) logOutdated(what string, id incarnation.ID, got, known int64) {
+// logOutdated counts and logs an answer or a report of the worker that is ignored because a later one is known.
+func (r *Runner) logOutdated(kind string, id incarnation.ID, got, known int64) {
 	r.config.Metrics.Counter("agent.overtaken").Inc(1)
 	r.outdatedLog.Do(func() {
-		r.logger.Warn("overtaken %s of the worker is ignored; instance=%s got=%d known=%d", what, id, got, known)
+		r.logger.Warn("outdated %s of the worker ignored; instance=%s got=%d known=%d", kind, id, got, known)
 	})
 }
 
-// checkAcknowledgement logs an acknowledgement beyond the ends that the worker has shown: it lets ends go that nobody has committed.
-func (r *Runner) checkAcknowledgement(id incarnation.ID, seen uint64, view host.View) {
+// checkAcknowledgement logs an acknowledgement beyond the ended runs listed before: the worker discards ends that no leader has committed.
+func (r *Runner) checkAcknowledgement(id incarnation.ID, acknowledged uint64, view host.View) {
 	latest := uint64(0)
 	for _, e := range view.Ended {
 		latest = max(latest, e.Sequence)
 	}
-	if latest > 0 && latest <= seen {
+	if latest > 0 && latest <= acknowledged {
 		r.config.Metrics.Counter("agent.acknowledged_beyond").Inc(1)
-		r.logger.Warn("ends are acknowledged beyond those shown; instance=%s acknowledged=%d shown=%d", id, seen, latest)
+		r.logger.Warn("ended runs acknowledged beyond those listed; instance=%s acknowledged=%d shown=%d", id, acknowledged, latest)
 	}
 }
 
-// logFirstAnswer logs how long after its birth an incarnation first answered. Until then it may carry out what was sent to one before under its id.
+// logFirstAnswer logs the age of an incarnation at its first answer. Before that it may carry out calls to the previous one with the same id.
 func (r *Runner) logFirstAnswer(id incarnation.ID) {
 	if id.StartMillis() == 0 {
 		return
 	}
-	// Both are of one VM, and so of one time of day.
+	// Both clocks are the VM's time of day.
 	age := time.Now().UnixMilli() - id.StartMillis()
 	r.config.Metrics.Histogram("agent.first_answer_ms").Update(age)
-	r.logger.Info("worker incarnation answers first; instance=%s age_ms=%d", id, age)
+	r.logger.Info("first answer of a worker incarnation; instance=%s age_ms=%d", id, age)
 }
 
-// logUnexpectedRuns logs what a new incarnation has or had before this agent started anything there: starts that were sent to one before.
+// logUnexpectedRuns logs the runs of a new incarnation that this agent has not started there: starts sent to a previous one.
 func (r *Runner) logUnexpectedRuns(view host.View) {
-	found := make([]host.Run, 0, len(view.Running)+len(view.Ended))
+	runs := make([]host.Run, 0, len(view.Running)+len(view.Ended))
 	for _, running := range view.Running {
-		found = append(found, running.Run)
+		runs = append(runs, running.Run)
 	}
 	for _, e := range view.Ended {
-		found = append(found, e.Run)
+		runs = append(runs, e.Run)
 	}
-	r.config.Metrics.Counter("agent.found_runs").Inc(int64(len(found)))
-	for _, run := range found {
-		r.logger.Warn("a new incarnation has a run that it was not started with; task=%s run=%d instance=%s",
+	r.config.Metrics.Counter("agent.found_runs").Inc(int64(len(runs)))
+	for _, run := range runs {
+		r.logger.Warn("new incarnation has a run that was started on a previous one; task=%s run=%d instance=%s",
 			run.Task, run.Number, view.Incarnation)
 	}
 }
--- a/internal/runner/discovery.go
+++ b/internal/runner/discovery.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// minSearchDelay and searchLast bound the pauses between two searches for the leader.
+	// minSearchDelay and maxSearchDelay bound the backoff between two searches for the leader.
 	minSearchDelay = 100 * time.Millisecond
 	maxSearchDelay = time.Second
-	// entryTimeout bounds the question to one entry, which holds it while nobody leads.
+	// entryTimeout bounds a request to one entry, which delays its answer while there is no leader.
 	entryTimeout = 800 * time.Millisecond
 	// maxEntriesAsked is how many entries are asked in one search.
 	maxEntriesAsked = 3
-	// minStoreDelay and storeLast bound the pauses between two reads of the store where no entry answers: all agents of a fleet share it.
+	// minStoreDelay and maxStoreDelay bound the backoff between two reads of the store while no entry answers: all agents of a fleet share it.
 	minStoreDelay = time.Second
 	maxStoreDelay = 16 * time.Second
-	// storeTimeout bounds a read of the store, doubtEvery lies between two questions about a leader that is in doubt.
+	// storeTimeout bounds a read of the store, leaderCheckInterval is the time between two searches for the successor of an unverified leader.
 	storeTimeout        = 900 * time.Millisecond
 	leaderCheckInterval = 900 * time.Millisecond
 )
 
-// foundLeader is a leader and how many agents it has, 0 where that is not known.
+// foundLeader is a leader with its number of agents, 0 if unknown.
 type foundLeader struct {
 	record.Leader
 	agents int
 }
 
-// findLeader returns who leads: a leader later than an epoch where there is one soon. Entries are asked; the store only where none answers.
+// findLeader returns the leader, preferably with a later epoch than the given one. It asks entries, and reads the store only if none answers.
 func (r *Runner) findLeader(ctx context.Context, after uint64) (foundLeader, error) {
 	leader, err := r.queryEntries(ctx, link.Leader{After: after})
 	if err == nil || !fault.Is(err, fault.NotFound) {
@@ -45,18 +45,18 @@
 	return r.readLeader(ctx)
 }
 
-// queryEntries asks some entries for a leader later than the epoch of a question, and returns the latest that any of them knows. The error is of kind NotFound
-// where none answered, and Unavailable where those that did know of no leader.
-func (r *Runner) queryEntries(ctx context.Context, question link.Leader) (foundLeader, error) {
+// queryEntries asks some entries for a leader of a later epoch than the request's and returns the latest that any of them knows. The error is
+// of kind NotFound if no entry answered, and Unavailable if those that answered know no leader.
+func (r *Runner) queryEntries(ctx context.Context, request link.Leader) (foundLeader, error) {
 	var latest foundLeader
-	unknown := fault.NotFound
+	kind := fault.NotFound
 	err := r.config.Pool.Try(ctx, maxEntriesAsked, func(p *rpc.Peer) error {
 		bounded, cancel := context.WithTimeout(ctx, entryTimeout)
 		defer cancel()
-		answer, err := rpc.Call[link.Leader, link.LeaderAnswer](bounded, p, link.MethodLeader, question)
+		answer, err := rpc.Call[link.Leader, link.LeaderAnswer](bounded, p, link.MethodLeader, request)
 		switch {
 		case fault.Is(err, fault.Unavailable):
-			unknown = fault.Unavailable
+			kind = fault.Unavailable
 			return err
 		case err != nil:
 			return err
@@ -65,19 +65,19 @@
 			latest.Leader = record.Leader{Process: answer.Node, Address: answer.Address, Epoch: answer.Epoch}
 			latest.agents = answer.Agents
 		}
-		if answer.Epoch <= question.After {
-			// An entry that the store turns away knows of no later leader, where another one may.
-			return fault.New(fault.Stale, "epoch %d leads", answer.Epoch)
+		if answer.Epoch <= request.After {
+			// An entry that the store rejects knows no later leader, while another entry may.
+			return fault.New(fault.Stale, "the leader has epoch %d", answer.Epoch)
 		}
 		return nil
 	})
 	if latest.Epoch == 0 {
-		return foundLeader{}, fault.Wrap(err, unknown, "no entry tells who leads")
+		return foundLeader{}, fault.Wrap(err, kind, "no entry knows the leader")
 	}
 	return latest, nil
 }
 
-// readLeader reads who leads from the store.
+// readLeader reads the leader from the store.
 func (r *Runner) readLeader(ctx context.Context) (foundLeader, error) {
 	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -86,34 +86,34 @@
 		return foundLeader{}, err
 	}
 	if item.Revision() == 0 {
-		return foundLeader{}, fault.New(fault.Unavailable, "nobody leads")
+		return foundLeader{}, fault.New(fault.Unavailable, "the store has no leader")
 	}
-	lead, err := record.DecodeLeader(item.Value())
-	return foundLeader{Leader: lead}, err
+	leader, err := record.DecodeLeader(item.Value())
+	return foundLeader{Leader: leader}, err
 }
 
 const (
-	// handshakeTime is the processor time that a leader takes for the connection and the first report of an agent, on the weakest VM.
+	// handshakeTime is the processor time that a leader on the weakest VM spends on the connection and first report of an agent.
 	handshakeTime = time.Millisecond
-	// minReturnSpread is the time over which the agents of a small fleet return.
-	minReturnSpread = 50 * time.Millisecond
-	// urgentShare is the part of that time in which those return that cannot wait.
+	// minReconnectSpread is the time over which the agents of a small fleet reconnect.
+	minReconnectSpread = 50 * time.Millisecond
+	// urgentShare is the part of the spread in which urgent agents reconnect.
 	urgentShare = 0.25
-	// urgentLease is how soon after the spread a lease may end for its agent to be urgent.
+	// urgentLease is how soon after the spread a lease may expire for its agent to be urgent.
 	urgentLease = 1500 * time.Millisecond
 )
 
-// reconnectDelay returns how long an agent waits before it connects to a leader that was just elected, so that the leader's first second is not
-// spent on handshakes. The draw is from 0 up to 1; lease is how long the worker's lease still lasts, and ends say that some are unreported.
-func reconnectDelay(agents int, lease time.Duration, ends bool, draw float64) time.Duration {
-	spread := max(time.Duration(agents)*handshakeTime, minReturnSpread)
+// reconnectDelay returns how long an agent waits before it connects to a newly elected leader, so that the leader does not spend its first second
+// on handshakes. The random number is in [0, 1); lease is the time left of the agent lease, and ends reports whether ended runs are unreported.
+func reconnectDelay(agents int, lease time.Duration, ends bool, random float64) time.Duration {
+	spread := max(time.Duration(agents)*handshakeTime, minReconnectSpread)
 	if ends || lease < spread+urgentLease {
-		return time.Duration(draw * urgentShare * float64(spread))
+		return time.Duration(random * urgentShare * float64(spread))
 	}
-	return time.Duration(draw * float64(spread))
+	return time.Duration(random * float64(spread))
 }
 
-// connectDelay returns how long to wait before this agent connects to a leader.
+// connectDelay returns how long this agent waits before it connects to a leader.
 func (r *Runner) connectDelay(leader foundLeader) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/runner/discovery_test.go
+++ b/internal/runner/discovery_test.go
@@ -10,39 +10,39 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// TestReconnectsAreSpreadForTheLeader plays 1,600 agents that learn of a new leader at one moment: a leader on the weakest VM must not be
-// sent more handshakes than it carries out, and those that cannot wait come first.
+// TestReconnectsAreSpreadForTheLeader simulates 1,600 agents that learn of a new leader at the same time: a leader on the weakest VM must not receive
+// more handshakes than it can complete, and urgent agents come first.
 func TestReconnectsAreSpreadForTheLeader(t *testing.T) {
 	const agents, window = 1600, 100 * time.Millisecond
-	draw := rand.New(rand.NewPCG(3, 4)) //nolint:gosec // a fixed seed
+	random := rand.New(rand.NewPCG(3, 4)) //nolint:gosec // a fixed seed
 	arrivals := make(map[time.Duration]int)
 	var latestUrgent, latest time.Duration
 	for i := range agents {
-		const few = 50
-		ends := i < agents/few
-		delay := reconnectDelay(agents, 5*time.Second, ends, draw.Float64())
+		const urgentDivisor = 50
+		ends := i < agents/urgentDivisor
+		delay := reconnectDelay(agents, 5*time.Second, ends, random.Float64())
 		arrivals[delay/window]++
 		latest = max(latest, delay)
 		if ends {
 			latestUrgent = max(latestUrgent, delay)
 		}
 	}
-	// The draws of a window scatter around its share.
+	// The random delays within a window scatter around its share.
 	const scatter = 1.5
-	for at, count := range arrivals {
-		took := time.Duration(float64(count) * float64(handshakeTime) / scatter)
-		assert.Assert(t, took <= window, "%d handshakes within %v after %v", count, window, at*window)
+	for index, count := range arrivals {
+		required := time.Duration(float64(count) * float64(handshakeTime) / scatter)
+		assert.Assert(t, required <= window, "%d handshakes within %v after %v", count, window, index*window)
 	}
-	assert.Assert(t, latestUrgent <= latest/2, "agents with ends return after %v, all after %v", latestUrgent, latest)
+	assert.Assert(t, latestUrgent <= latest/2, "agents with ended runs reconnect after %v, all after %v", latestUrgent, latest)
 	assert.Assert(t, latest <= 2*time.Second)
 }
 
 func TestAgentOfASmallFleetReconnectsAtOnce(t *testing.T) {
-	assert.Assert(t, reconnectDelay(14, 5*time.Second, false, 0.99) <= minReturnSpread)
-	assert.Assert(t, reconnectDelay(0, 5*time.Second, false, 0.99) <= minReturnSpread)
+	assert.Assert(t, reconnectDelay(14, 5*time.Second, false, 0.99) <= minReconnectSpread)
+	assert.Assert(t, reconnectDelay(0, 5*time.Second, false, 0.99) <= minReconnectSpread)
 }
 
-// TestLeaseThatEndsSoonIsUrgent, however many agents return.
+// TestLeaseThatEndsSoonIsUrgent checks that such an agent reconnects early, however many others do.
 func TestLeaseThatEndsSoonIsUrgent(t *testing.T) {
 	spread := 800 * handshakeTime
 	assert.Assert(t, reconnectDelay(800, time.Second, false, 0.99) <= spread/4)
@@ -50,14 +50,14 @@
 }
 
 func TestFullLeaderDelaysReconnects(t *testing.T) {
-	full := fault.New(fault.Overloaded, "all connections are taken").WithRetryAfter(3 * time.Second)
-	assert.Equal(t, retryAfter(full), 3*time.Second)
+	overloaded := fault.New(fault.Overloaded, "all connections are taken").WithRetryAfter(3 * time.Second)
+	assert.Equal(t, retryAfter(overloaded), 3*time.Second)
 	assert.Equal(t, retryAfter(fault.New(fault.Unavailable, "no answer")), time.Duration(0))
 }
 
-// TestLeaderThatIsLoadingJobsIsRetriedSoon: agents that came some milliseconds early waited a second and a half for a later leader.
+// TestLeaderThatIsLoadingJobsIsRetriedSoon failed with agents that came some milliseconds early and then waited 1.5 s for a later leader.
 func TestLeaderThatIsLoadingJobsIsRetriedSoon(t *testing.T) {
 	assert.Equal(t, failedEpoch(7, false, fault.New(fault.Stale, "this entry does not lead")), uint64(0))
-	assert.Equal(t, failedEpoch(7, true, fault.New(fault.Unavailable, "the lead closed the connection")), uint64(0))
+	assert.Equal(t, failedEpoch(7, true, fault.New(fault.Unavailable, "the leader closed the connection")), uint64(0))
 	assert.Equal(t, failedEpoch(7, false, fault.New(fault.Unavailable, "cannot connect")), uint64(7))
 }
--- a/internal/runner/doc.go
+++ b/internal/runner/doc.go
@@ -1,3 +1,3 @@
-// Package runner is the agent beside a worker: it holds the worker's runs under the lead's permission, carries out
-// the lead's orders, reports what runs and ends, and paces what fills beside what serves.
+// Package runner is the agent of one worker: it renews the leases of the worker's runs while the leader renews the agent's lease, carries out
+// the leader's orders, reports running and ended runs, and sets the pace of best-effort tasks beside serving tasks.
 package runner
--- a/internal/runner/fakes_test.go
+++ b/internal/runner/fakes_test.go
@@ -12,21 +12,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// fakeWorker answers orders as told and notes them.
+// fakeWorker records orders and gives configured answers.
 type fakeWorker struct {
 	mu          sync.Mutex
 	startOrders []host.Start
 	stoppedRuns []host.Run
-	// acknowledgedEnds is up to which number each incarnation's ends were let go.
+	// acknowledgedEnds is the sequence up to which the ended runs of each incarnation were acknowledged.
 	acknowledgedEnds map[incarnation.ID]uint64
-	// highestFences are the highest that holds have shown each incarnation.
+	// highestFences are the highest fences that renewals have sent to each incarnation.
 	highestFences map[incarnation.ID]uint64
 	view          host.View
 	answerStart   func() (host.Refusal, error)
-	// current is the incarnation that answers, zero for any; slow is how long a refusal under another id takes.
+	// current is the incarnation that answers, zero for any; refusalDelay is how long a refusal under another id takes.
 	current      incarnation.ID
 	refusalDelay time.Duration
-	// unavailable makes it refuse connections, refusals answer the next holds.
+	// unavailable makes the worker refuse connections, refusals answer the next renewals.
 	unavailable bool
 	refusals    []host.Refusal
 }
@@ -90,21 +90,21 @@
 	return view, host.Accepted, nil
 }
 
-// setView sets what the worker lists.
+// setView sets the view that renewals return.
 func (f *fakeWorker) setView(view host.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view = view
 }
 
-// acknowledged returns up to which number the ends of an incarnation were let go.
+// acknowledged returns the sequence up to which the ended runs of an incarnation were acknowledged.
 func (f *fakeWorker) acknowledged(id incarnation.ID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.acknowledgedEnds[id]
 }
 
-// highestFence returns the highest fence that an incarnation was shown.
+// highestFence returns the highest fence that an incarnation has received.
 func (f *fakeWorker) highestFence(id incarnation.ID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,14 +118,14 @@
 	f.unavailable = away
 }
 
-// restart gives the worker another incarnation.
+// restart replaces the current incarnation.
 func (f *fakeWorker) restart(id incarnation.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.current = id
 }
 
-// started returns the starts so far, and stopped the stops.
+// started returns the starts received so far, stopped the stops.
 func (f *fakeWorker) started() []host.Start {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/runner/fences.go
+++ b/internal/runner/fences.go
@@ -16,23 +16,23 @@
 	contactTimeout = 100 * time.Millisecond
 )
 
-// fences are the numbers under which the agent calls its worker, which does nothing under a lower one than it has seen.
+// fences are the fencing tokens under which the agent calls its worker, which rejects calls under a lower one than it has received.
 //
-// A call without an answer may be carried out by a later incarnation. The fence is raised with the first doubt whether the present one still lives,
-// so that one call to the next one makes that refuse all that was sent before, also what no process remembers.
+// A call without an answer may be carried out by a later incarnation. The fence is raised as soon as the current incarnation may have ended, so that
+// one call to the next makes it reject all earlier calls, even those that no process remembers.
 type fences struct {
-	// epoch is that of the leader that granted the numbers up to last, first the lowest of them that this process has had; usedUp asks for more.
+	// epoch is that of the leader that granted the tokens up to last, first the lowest token it granted to this process; exhausted requests a new grant.
 	epoch                uint64
 	first, current, last uint64
 	exhausted            bool
-	// highestUsed is the highest number of a call that a later incarnation must not carry out: an order, or an acknowledgement.
+	// highestUsed is the highest token of a call that a later incarnation must not carry out: an order or an acknowledgement.
 	highestUsed uint64
-	// confirmed says that the worker has answered under the present number since a call failed last, missing since when it has not.
+	// confirmed reports whether the worker has answered under the current token since the last failed call, unconfirmedSince when that ceased to hold.
 	confirmed        bool
 	unconfirmedSince time.Time
 }
 
-// grant takes the numbers of a leader, unless it has granted some before; 0 stands for a leader of the release before, which grants only its epoch.
+// grant stores the tokens of a leader unless it has granted some before; first is 0 from a leader of the previous release, which grants only its epoch.
 func (f *fences) grant(epoch, first, last uint64) bool {
 	if epoch < f.epoch || epoch == f.epoch && !f.exhausted {
 		return false
@@ -48,11 +48,11 @@
 	return true
 }
 
-// covers reports whether an incarnation that has answered under a number refuses all that earlier leaders and agents sent. One that crashed before the
-// fence was raised has answered under a lower one than the present.
+// covers reports whether an incarnation that answered under a token rejects all calls of earlier leaders and agents. One that crashed before the fence
+// was raised has answered under a lower token than the current one, so first is the bound.
 func (f *fences) covers(number, epoch uint64) bool { return f.epoch == epoch && number >= f.first }
 
-// raise records that the worker may have another incarnation, and reports whether the numbers are used up.
+// raise moves to the next token if the current one was used, and reports whether the tokens are exhausted.
 func (f *fences) raise() bool {
 	if f.confirmed {
 		f.confirmed, f.unconfirmedSince = false, time.Now()
@@ -67,35 +67,35 @@
 	return false
 }
 
-// use returns the present number, for a call that a later incarnation must not carry out.
+// use returns the current token for a call that a later incarnation must not carry out.
 func (f *fences) use() uint64 {
 	f.highestUsed = f.current
 	return f.current
 }
 
-// recordAnswer records a call under a number that the worker recordAnswer.
+// recordAnswer records that the worker answered a call under a token.
 func (f *fences) recordAnswer(number uint64) { f.confirmed = f.confirmed || number >= f.current }
 
-// raiseFence raises the fence above all that was sent. An agent that has used its numbers up connects anew for others.
+// raiseFence raises the fence above all earlier calls, since the worker may have restarted. An agent without tokens left reconnects for more.
 func (r *Runner) raiseFence() {
-	if usedUp := r.fences.raise(); usedUp && !r.fences.exhausted && r.fences.current < r.epoch && r.session != nil {
-		r.logger.Info("fences are used up, the agent connects anew; fence=%d", r.fences.current)
+	if exhausted := r.fences.raise(); exhausted && !r.fences.exhausted && r.fences.current < r.epoch && r.session != nil {
+		r.logger.Info("fences exhausted, reconnecting to the leader; fence=%d", r.fences.current)
 		r.fences.exhausted = true
 		r.session.Close()
 	}
 }
 
-// adoptEpochAsFence takes the epoch as the fence where the worker refuses the present number: an agent of the release before, which did so, was replaced.
+// adoptEpochAsFence uses the epoch as the fence if the worker rejects the current token: it was called by an agent of the previous release, which did so.
 func (r *Runner) adoptEpochAsFence(fence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if fence == r.fences.current && fence < r.epoch {
-		r.logger.Warn("the worker has seen a higher fence; fence=%d epoch=%d", fence, r.epoch)
+		r.logger.Warn("worker has received a higher fence; fence=%d epoch=%d", fence, r.epoch)
 		r.fences.current, r.fences.last = r.epoch, r.epoch
 	}
 }
 
-// contactWorker shows the fence to whichever incarnation answers, also under an id that the agent does not know yet.
+// contactWorker sends the fence to whichever incarnation answers, even under an id that the agent does not know yet.
 func (r *Runner) contactWorker(ctx context.Context) {
 	r.mu.Lock()
 	fence, due := r.fences.current, !r.fences.confirmed && r.fences.current > 0
@@ -107,19 +107,19 @@
 	defer cancel()
 	_, refusal, err := r.config.Worker.Renew(bounded, incarnation.ID{}, host.Renewal{Fence: fence})
 	if err != nil || refusal != host.Accepted {
-		r.logger.Debug("fence not shown; fence=%d refusal=%s reason=%v", fence, refusal, err)
+		r.logger.Debug("fence not delivered; fence=%d refusal=%s reason=%v", fence, refusal, err)
 		return
 	}
-	r.logger.Debug("fence shown to the worker; fence=%d", fence)
+	r.logger.Debug("fence delivered to the worker; fence=%d", fence)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fences.recordAnswer(fence)
 }
 
-// awaitRetry waits a while before the next call to a worker that did not answer.
+// awaitRetry waits before the next call to a worker that did not answer.
 func (r *Runner) awaitRetry(ctx context.Context) { wait.For(ctx, r.retryDelay()) }
 
-// retryDelay is short while earlier calls may still be carried out by an incarnation that has not seen the fence.
+// retryDelay is short while an incarnation that has not received the fence may still carry out earlier calls.
 func (r *Runner) retryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/runner/fences_test.go
+++ b/internal/runner/fences_test.go
@@ -13,18 +13,18 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestFencesAreGrantedOncePerEpoch, and by the epoch alone where the leader is of the release before.
+// TestFencesAreGrantedOncePerEpoch checks grants, and that a leader of the previous release grants its epoch only.
 func TestFencesAreGrantedOncePerEpoch(t *testing.T) {
 	var f fences
 	assert.Assert(t, f.grant(10, 3, 5))
-	assert.Assert(t, !f.grant(10, 6, 8), "orders under way bear the numbers of the first connection")
+	assert.Assert(t, !f.grant(10, 6, 8), "orders in progress carry the tokens of the first connection")
 	assert.Equal(t, f.current, uint64(3))
 	assert.Assert(t, f.grant(20, 0, 0))
 	assert.Equal(t, f.current, uint64(20))
 	assert.Equal(t, f.last, uint64(20))
 }
 
-// TestFenceIsRaisedAboveAllCalls, and only where there were any: an agent that doubts often does not use its numbers up.
+// TestFenceIsRaisedAboveAllCalls checks that the fence is raised only if it was used, so that frequent restarts do not exhaust the tokens.
 func TestFenceIsRaisedAboveAllCalls(t *testing.T) {
 	var f fences
 	f.grant(10, 3, 4)
@@ -36,12 +36,12 @@
 	assert.Assert(t, !f.confirmed)
 	assert.Equal(t, f.current, uint64(4))
 	f.recordAnswer(3)
-	assert.Assert(t, !f.confirmed, "an answer under an earlier number")
+	assert.Assert(t, !f.confirmed, "an answer under an earlier token")
 	f.use()
-	assert.Assert(t, f.raise(), "used up")
+	assert.Assert(t, f.raise(), "exhausted")
 }
 
-// TestFenceIsSentBeforeTheWorkerReports, by a call to whichever incarnation answers.
+// TestFenceIsSentBeforeTheWorkerReports checks that a call to whichever incarnation answers sends the fence.
 func TestFenceIsSentBeforeTheWorkerReports(t *testing.T) {
 	for name, known := range map[string]bool{"agent knows another incarnation": true, "agent knows none": false} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestStartUnderAnEarlierFenceIsSentAgain: its refusal says nothing of the run.
+// TestStartUnderAnEarlierFenceIsSentAgain checks that the refusal of such a start does not count as a refusal of its run.
 func TestStartUnderAnEarlierFenceIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
@@ -89,18 +89,18 @@
 	})
 }
 
-// TestReturnedWorkerIsCalledSoon, and one that stays away seldom: nothing that was sent may be carried out by then.
+// TestReturnedWorkerIsCalledSoon checks that a worker is called at short intervals only while it may still carry out earlier calls.
 func TestReturnedWorkerIsCalledSoon(t *testing.T) {
-	for away, within := range map[time.Duration]time.Duration{255 * time.Millisecond: 2 * contactInterval, host.MaxCallDelay + 255*time.Millisecond: renewalRetryDelay} {
+	for downtime, within := range map[time.Duration]time.Duration{255 * time.Millisecond: 2 * contactInterval, host.MaxCallDelay + 255*time.Millisecond: renewalRetryDelay} {
 		synctest.Test(t, func(t *testing.T) {
 			worker := &fakeWorker{current: testID, unavailable: true}
 			r := newTest(worker)
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() { _ = r.renewLoop(ctx) }()
-			time.Sleep(away)
+			time.Sleep(downtime)
 			worker.setUnavailable(false)
 			time.Sleep(within)
-			assert.Equal(t, worker.highestFence(testID), uint64(3), "after %v", away)
+			assert.Equal(t, worker.highestFence(testID), uint64(3), "after %v", downtime)
 			cancel()
 			synctest.Wait()
 		})
--- a/internal/runner/hall.go
+++ b/internal/runner/hall.go
@@ -8,25 +8,25 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// hallState is what the agent was told of its hall.
+// hallState is the last known state of the agent's hall.
 type hallState struct {
 	latest link.Hall
-	// confirmedAt is up to when the lead surely had confirmedAt of all that it knew, followed when the connection to it began.
+	// confirmedAt is the time up to which the leader has reported all that it knew of the hall, connectedAt when the connection to it began.
 	confirmedAt boottime.Instant
 	connectedAt boottime.Instant
 }
 
-// update takes what the lead told at a time, or later.
-func (h *hallState) update(told link.Hall, at boottime.Instant) {
-	if told.Revision >= h.latest.Revision {
-		h.latest = told
+// update applies a state of the hall that the leader reported at the given time or later.
+func (h *hallState) update(reported link.Hall, at boottime.Instant) {
+	if reported.Revision >= h.latest.Revision {
+		h.latest = reported
 	}
 	if at.After(h.confirmedAt) {
 		h.confirmedAt = at
 	}
 }
 
-// allowsStart reports whether something may start in the hall: it is open, and was so not long before.
-func (h *hallState) allowsStart(now boottime.Instant, within time.Duration) bool {
-	return !h.latest.Closed && now.Sub(h.confirmedAt) <= hall.StaleAfter(within)
+// allowsStart reports whether runs may start in the hall: it is open, as recently confirmed.
+func (h *hallState) allowsStart(now boottime.Instant, closedWithin time.Duration) bool {
+	return !h.latest.Closed && now.Sub(h.confirmedAt) <= hall.StaleAfter(closedWithin)
 }
--- a/internal/runner/hall_test.go
+++ b/internal/runner/hall_test.go
@@ -13,7 +13,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestNothingStartsInAClosedHall is an order that was under way as the hall was closed.
+// TestNothingStartsInAClosedHall sends an order that was in progress when the hall was closed.
 func TestNothingStartsInAClosedHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -24,16 +24,16 @@
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 0)
 
-		later := startOrders()
-		later.Starts[0].Number, later.Hall = 2, link.Hall{Revision: 10}
-		_, err = r.handleOrders(context.Background(), nil, later)
+		reopened := startOrders()
+		reopened.Starts[0].Number, reopened.Hall = 2, link.Hall{Revision: 10}
+		_, err = r.handleOrders(context.Background(), nil, reopened)
 		assert.NilError(t, err)
 		synctest.Wait()
-		assert.Equal(t, len(worker.started()), 1, "the order says that the hall is open again")
+		assert.Equal(t, len(worker.started()), 1, "the order reports that the hall is open again")
 	})
 }
 
-// TestUnansweredStartIsWithdrawnWhenHallCloses is a start that is repeated while the hall is closed.
+// TestUnansweredStartIsWithdrawnWhenHallCloses closes the hall while a start is being retried.
 func TestUnansweredStartIsWithdrawnWhenHallCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: noAnswer}
@@ -46,11 +46,11 @@
 		r.mu.Unlock()
 		time.Sleep(10 * orderRetryDelay)
 		assert.Equal(t, len(worker.started()), 1)
-		assert.Equal(t, len(worker.stopped()), 1, "it may have been done")
+		assert.Equal(t, len(worker.stopped()), 1, "it may have been carried out")
 	})
 }
 
-// TestNothingStartsWhenHallStateIsStale is an order that a cut held up: meanwhile the hall may have been closed.
+// TestNothingStartsWhenHallStateIsStale sends an order delayed by a network partition, during which the hall may have been closed.
 func TestNothingStartsWhenHallStateIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -63,7 +63,7 @@
 	})
 }
 
-// TestOlderHallStateIsIgnored is an answer that newer orders have overtaken.
+// TestOlderHallStateIsIgnored applies an answer that arrives after newer orders.
 func TestOlderHallStateIsIgnored(t *testing.T) {
 	var h hallState
 	now := (&boottimetest.Clock{}).Now()
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -14,68 +14,67 @@
 )
 
 const (
-	// renewalWait is how long a hold waits for an end; the worker's figures are over half a second.
+	// renewalWait is how long a renewal waits for a run to end; the worker measures over half a second.
 	renewalWait = 500 * time.Millisecond
-	// runLease is how long the worker's runs go on after a hold: longer than the agent takes to start again, shorter than
-	// any permission.
+	// runLease is how long the worker's runs may continue after a renewal: longer than an agent takes to restart, shorter than any agent lease.
 	runLease = 3500 * time.Millisecond
-	// minClockRate is how fast the worker's clock runs at the least beside this one, by the platform's page.
+	// minClockRate is the lowest rate of the worker's clock relative to this one, by the platform's specification.
 	minClockRate = 0.98
-	// silentAfter is how long a worker may not answer before it is reported as silent.
+	// silentAfter is how long a worker may leave calls unanswered before it is reported as silent.
 	silentAfter = 1500 * time.Millisecond
-	// fenceTimeout bounds the hold that shows the worker a new fence; the next one does so as well.
+	// fenceTimeout bounds the renewal that sends a new fence; the next renewal sends it too.
 	fenceTimeout = 300 * time.Millisecond
-	// renewalRetryDelay lies between two holds that found nothing new, or failed.
+	// renewalRetryDelay is the time between two renewals if the previous one failed or returned ended runs that are not acknowledged yet.
 	renewalRetryDelay = 100 * time.Millisecond
 )
 
-// renewLoop renews the lease of the worker's runs and looks at them, over and over.
+// renewLoop renews the lease of the worker's runs and stores the views that the worker returns.
 func (r *Runner) renewLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		id, hold, ok := r.nextRenewal()
+		id, renewal, ok := r.nextRenewal()
 		if !ok {
 			r.contactWorker(ctx)
 			r.await(ctx, r.heartbeat, r.retryDelay())
 			continue
 		}
-		asked := time.Now()
-		settles, err := r.renewOnce(ctx, id, hold)
+		sentAt := time.Now()
+		hasEnds, err := r.renewOnce(ctx, id, renewal)
 		switch {
 		case err != nil:
-			r.recordFailedRenewal(id, asked, err)
+			r.recordFailedRenewal(id, sentAt, err)
 			if fault.Is(err, fault.Stale) {
 				r.contactWorker(ctx)
 			}
 			r.awaitRetry(ctx)
-		case settles:
+		case hasEnds:
 			r.await(ctx, r.endsAcknowledged, renewalRetryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// renewOnce renews the lease once, and reports whether ends wait to be committed.
-func (r *Runner) renewOnce(ctx context.Context, id incarnation.ID, hold host.Renewal) (bool, error) {
-	view, refusal, err := r.config.Worker.Renew(ctx, id, hold)
+// renewOnce renews the lease once and reports whether the worker has ended runs to acknowledge.
+func (r *Runner) renewOnce(ctx context.Context, id incarnation.ID, renewal host.Renewal) (bool, error) {
+	view, refusal, err := r.config.Worker.Renew(ctx, id, renewal)
 	switch {
 	case err != nil:
 		return false, err
 	case refusal == host.RefusedFence:
-		r.adoptEpochAsFence(hold.Fence)
-		return false, fault.New(fault.Conflict, "the worker has seen a higher fence than %d", hold.Fence)
+		r.adoptEpochAsFence(renewal.Fence)
+		return false, fault.New(fault.Conflict, "the worker has received a higher fence than %d", renewal.Fence)
 	case refusal != host.Accepted:
-		return false, fault.New(fault.Conflict, "the worker refuses the hold: %s", refusal)
+		return false, fault.New(fault.Conflict, "the worker refused the renewal: %s", refusal)
 	case view.Incarnation != id:
 		r.recordNextRuns(id, view)
 		return false, errSameID
 	}
-	return r.recordRenewal(ctx, id, hold, view), nil
+	return r.recordRenewal(ctx, id, renewal, view), nil
 }
 
-// errSameID says that a later incarnation answers under the id of the one that was called.
+// errSameID reports that a later incarnation answered under the id of the one that was called.
 var errSameID = fault.New(fault.Stale, "another incarnation answers under the same id")
 
-// recordNextRuns records what the next incarnation under the id of the present one has.
+// recordNextRuns records the runs of the next incarnation with the id of the current one.
 func (r *Runner) recordNextRuns(id incarnation.ID, view host.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,30 +83,30 @@
 	}
 }
 
-// sendFence shows the worker the sendFence of a leader that was just found, beside the hold that waits for an end: before that the leader
-// cannot rely on what it receives of the worker.
+// sendFence sends the fence of a new leader while another renewal still waits for a run to end: until the worker has received it, the leader cannot
+// rely on the worker's reports.
 func (r *Runner) sendFence(ctx context.Context) {
-	id, hold, ok := r.nextRenewal()
-	if !ok || hold.Wait > 0 {
+	id, renewal, ok := r.nextRenewal()
+	if !ok || renewal.Wait > 0 {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
-	if _, err := r.renewOnce(bounded, id, hold); err != nil {
-		r.logger.Debug("the worker has not seen the fence yet: %v", err)
+	if _, err := r.renewOnce(bounded, id, renewal); err != nil {
+		r.logger.Debug("renewal with the new fence failed: %v", err)
 	}
 }
 
-// await waits for a signal, or a while.
-func (r *Runner) await(ctx context.Context, c chan struct{}, most time.Duration) {
+// await waits for a signal, up to a timeout.
+func (r *Runner) await(ctx context.Context, c chan struct{}, timeout time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-c:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
-// nextRenewal returns the hold to send, false while the worker is not known.
+// nextRenewal returns the next renewal to send, false before the worker's first report.
 func (r *Runner) nextRenewal() (incarnation.ID, host.Renewal, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,21 +115,21 @@
 		return incarnation.ID{}, host.Renewal{}, false
 	}
 	r.stopExpiredRuns(w)
-	hold := host.Renewal{Fence: r.fences.current, Acknowledged: r.acknowledged(w), Until: r.runDeadline(w), Wait: renewalWait}
-	if hold.Acknowledged > 0 {
+	renewal := host.Renewal{Fence: r.fences.current, Acknowledged: r.acknowledged(w), Until: r.runDeadline(w), Wait: renewalWait}
+	if renewal.Acknowledged > 0 {
 		r.fences.use()
 	}
 	if w.highestFence < r.fences.current || w.awaitsView() {
-		hold.Wait = 0
+		renewal.Wait = 0
 	}
-	return w.id, hold, true
+	return w.id, renewal, true
 }
 
-// minRestartTime is how long after an answer the worker cannot have crashed and started again.
+// minRestartTime is the time within which a worker that has just answered cannot have crashed and restarted.
 const minRestartTime = 300 * time.Millisecond
 
-// acknowledged returns up to which number the next hold lets ends go, 0 for none. Numbers start anew with each incarnation, and a call meant for
-// this one may reach the next: it acknowledges only what was listed, and only right after an answer.
+// acknowledged returns up to which sequence the next renewal acknowledges ended runs, 0 for none. Sequences restart with each incarnation and the
+// call may reach the next one, so it covers only runs that the worker listed, and only right after an answer.
 func (r *Runner) acknowledged(w *workerState) uint64 {
 	if w.confirmedAt.IsZero() || r.config.Uptime.Now().Sub(w.confirmedAt) > minRestartTime {
 		return 0
@@ -142,49 +141,49 @@
 	return w.acknowledgedEnds
 }
 
-// stopAfterExpiry is how long after the end of the permission the worker's runs are stopped: its own reckoning ends them before, unless
-// its clock stood still.
+// stopAfterExpiry is how long after the agent lease expires the worker's runs are stopped: the worker ends them before by its own clock, unless that
+// was suspended.
 const stopAfterExpiry = 200 * time.Millisecond
 
-// stopExpiredRuns stops what the worker still shows some time after the permission is over: a worker that was suspended with its VM would run it
-// on for up to holdTime after waking, beside the run that the lead has placed elsewhere.
+// stopExpiredRuns stops the runs still listed after the agent lease has expired: a worker that was suspended with its VM would continue them for up
+// to runLease after it resumes, beside the runs that the leader has placed elsewhere.
 func (r *Runner) stopExpiredRuns(w *workerState) {
 	if r.agentLeaseEnd.IsZero() || w.silent || r.config.Uptime.Now().Sub(r.agentLeaseEnd) < stopAfterExpiry {
 		return
 	}
 	for _, running := range w.view.Running {
 		if w.orders[running.Run] == nil {
-			r.logger.Warn("run is stopped after the permission was over; task=%s run=%d", running.Run.Task, running.Run.Number)
+			r.logger.Warn("stopping a run after the agent lease expired; task=%s run=%d", running.Run.Task, running.Run.Number)
 			r.stopRun(w, running.Run)
 		}
 	}
 }
 
-// runDeadline returns up to when the worker's runs may go on, on its clock, and notes the same on this one. A worker that does
-// not answer is not renewed, so that the end of its runs comes into sight.
+// runDeadline returns the time on the worker's clock until which its runs may continue, and records it on this clock. A worker that does not answer
+// gets no extension, so that its lease expires.
 func (r *Runner) runDeadline(w *workerState) host.Clock {
 	if w.silent {
 		return 0
 	}
-	left := min(runLease, r.agentLeaseEnd.Sub(r.config.Uptime.Now()))
-	if left <= 0 {
+	remaining := min(runLease, r.agentLeaseEnd.Sub(r.config.Uptime.Now()))
+	if remaining <= 0 {
 		return 0
 	}
-	end := time.Now().Add(left)
+	end := time.Now().Add(remaining)
 	if end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
-	// The worker's clock shows at least this at end, however slowly it runs, so that its runs are over by then. Since it was
-	// read the steady clock went on; a suspension is left out, in which the worker's may have stood still as well.
+	// The worker's clock shows at least this at end, even at its slowest rate, so its runs have ended by then. The steady clock measures the time since
+	// the reading without suspensions, in which the worker's clock may have stopped as well.
 	return w.clock + host.Clock(minClockRate*float64(end.Sub(w.clockReadAt)))
 }
 
-// maxDisconnectDelay is how soon a hold fails that was broken off: one whose worker is silent fails later.
+// maxDisconnectDelay is the longest time in which a renewal fails if its connection breaks; one to an unresponsive worker fails later.
 const maxDisconnectDelay = renewalWait + 100*time.Millisecond
 
-// recordFailedRenewal records a hold that was asked for at a time and failed. One that was broken off tells when the worker crashed, if it did: to the
-// millisecond, where what the worker showed last is up to half a second old.
-func (r *Runner) recordFailedRenewal(id incarnation.ID, asked time.Time, err error) {
+// recordFailedRenewal records a renewal that failed. If its connection broke, that tells the time of a crash to the millisecond, while the last view
+// is up to half a second old.
+func (r *Runner) recordFailedRenewal(id incarnation.ID, sentAt time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.worker
@@ -192,11 +191,11 @@
 		return
 	}
 	w.confirmedAt = 0
-	// A worker that refuses a call lives on; its next list says whether as another incarnation.
+	// A worker that refuses a call is running; its next view identifies the incarnation.
 	if !fault.Is(err, fault.Conflict) {
 		r.raiseFence()
 	}
-	if now := time.Now(); w.firstFailure.IsZero() && now.Sub(asked) < maxDisconnectDelay {
+	if now := time.Now(); w.firstFailure.IsZero() && now.Sub(sentAt) < maxDisconnectDelay {
 		w.firstFailure = now
 	}
 	if fault.Is(err, fault.Stale) {
@@ -210,8 +209,8 @@
 	}
 }
 
-// recordRenewal stores a view and reports whether ends wait to be committed.
-func (r *Runner) recordRenewal(ctx context.Context, id incarnation.ID, hold host.Renewal, view host.View) bool {
+// recordRenewal stores the view that a renewal returned and reports whether the worker has ended runs to acknowledge.
+func (r *Runner) recordRenewal(ctx context.Context, id incarnation.ID, renewal host.Renewal, view host.View) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.worker
@@ -219,14 +218,14 @@
 		return false
 	}
 	if w.views > 0 && view.Clock < w.clock {
-		// A newer answer has overtaken this one.
+		// A newer answer arrived first.
 		r.logOutdated("answer", id, time.Duration(view.Clock).Milliseconds(), time.Duration(w.clock).Milliseconds())
 		return false
 	}
-	r.checkAcknowledgement(id, hold.Acknowledged, view)
+	r.checkAcknowledgement(id, renewal.Acknowledged, view)
 	now := time.Now()
 	if w.terminated {
-		// Orders were no longer carried out; the leader gives them again.
+		// The agent dropped its orders meanwhile; the leader sends them again.
 		w.cancelOrders()
 	}
 	if w.silent {
@@ -235,8 +234,8 @@
 	w.clock, w.clockReadAt, w.answeredAt, w.silent = view.Clock, now, now, false
 	w.confirmedAt = r.config.Uptime.Now()
 	w.firstFailure, w.terminated, w.idChanged = time.Time{}, false, false
-	w.highestFence = max(w.highestFence, hold.Fence)
-	r.fences.recordAnswer(hold.Fence)
+	w.highestFence = max(w.highestFence, renewal.Fence)
+	r.fences.recordAnswer(renewal.Fence)
 	w.view = view
 	w.views++
 	w.possibleRuns.applyView(view, now)
--- a/internal/runner/incarnation_test.go
+++ b/internal/runner/incarnation_test.go
@@ -14,7 +14,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// Incarnations of one worker; the second is of a time that lies before the first's.
+// Incarnations of one worker; the second has an earlier start time than the first, as after a clock change.
 var (
 	firstIncarnation  = incarnation.New("i-1", 1_700_000_000_000)
 	secondIncarnation = incarnation.New("i-1", 1_600_000_000_000)
@@ -25,7 +25,7 @@
 	return host.Report{Incarnation: id, Service: "s", Capacity: job.Size{CPU: 4000, Memory: 1000}, Sequence: sequence}
 }
 
-// newIncarnationTest returns an agent that holds the first incarnation of a worker, which shows runs and ends with a clock that is far ahead.
+// newIncarnationTest returns an agent that renews the first incarnation of a worker, with running and ended runs and a clock that is far ahead.
 func newIncarnationTest(t *testing.T, worker *fakeWorker) *Runner {
 	t.Helper()
 	worker.current = firstIncarnation
@@ -40,7 +40,7 @@
 	return r
 }
 
-// restartWorker lets the worker start again under its id and run nothing.
+// restartWorker restarts the worker under the same id, without runs.
 func restartWorker(r *Runner, worker *fakeWorker) {
 	worker.restart(secondIncarnation)
 	worker.setView(host.View{Clock: host.Clock(time.Millisecond)})
@@ -49,7 +49,7 @@
 	time.Sleep(time.Second)
 }
 
-// TestNextIncarnationInheritsNoState under the same id: neither what it showed, nor what it reported, nor its clock, lease or acknowledgements.
+// TestNextIncarnationInheritsNoState under the same id: neither views, reports, clock, lease nor acknowledgements.
 func TestNextIncarnationInheritsNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
@@ -71,7 +71,7 @@
 	})
 }
 
-// TestEndOfNewIncarnationIsNotAcknowledgedEarly: its numbers start anew, and calls that name the worker's id reach it.
+// TestEndOfNewIncarnationIsNotAcknowledgedEarly guards against a lost end: sequences restart, and calls for the previous incarnation reach the next.
 func TestEndOfNewIncarnationIsNotAcknowledgedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
@@ -84,7 +84,7 @@
 		assert.Equal(t, worker.acknowledged(secondIncarnation), uint64(0))
 		worker.setView(host.View{Clock: host.Clock(time.Second), Ended: []host.EndedRun{{Sequence: 1, Run: testRun(4), End: job.EndDone}}})
 		time.Sleep(time.Second)
-		assert.Equal(t, worker.acknowledged(secondIncarnation), uint64(0), "nobody has committed it")
+		assert.Equal(t, worker.acknowledged(secondIncarnation), uint64(0), "no leader has committed it")
 		report, state = r.compose()
 		assert.Equal(t, len(report.Ended), 1)
 		state.applyAnswer(report, link.ReportAnswer{AcknowledgedEnds: 1})
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestAcknowledgementWaitsForAnAnswer: an agent that was suspended, or whose call failed, does not know which incarnation it will reach.
+// TestAcknowledgementWaitsForAnAnswer checks an agent that was suspended or whose call failed: it does not know which incarnation it will reach.
 func TestAcknowledgementWaitsForAnAnswer(t *testing.T) {
-	for name, lose := range map[string]func(r *Runner){
+	for name, interrupt := range map[string]func(r *Runner){
 		"suspended": func(r *Runner) { r.worker.confirmedAt = r.worker.confirmedAt.Add(-2 * minRestartTime) },
 		"failed":    func(r *Runner) { r.recordFailedRenewal(firstIncarnation, time.Now(), errSameID) },
 	} {
@@ -108,14 +108,14 @@
 				r.recordRenewal(t.Context(), firstIncarnation, host.Renewal{}, view)
 				r.worker.acknowledgedEnds = 7
 				assert.Equal(t, r.acknowledged(r.worker), uint64(7))
-				lose(r)
+				interrupt(r)
 				assert.Equal(t, r.acknowledged(r.worker), uint64(0))
 			})
 		})
 	}
 }
 
-// TestLateStartIsStoppedOnTheNextIncarnation: the worker may carry out a start without an answer seconds later, also after it has started again.
+// TestLateStartIsStoppedOnTheNextIncarnation covers a worker that carries out an unanswered start seconds later, also after a restart.
 func TestLateStartIsStoppedOnTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: noAnswer}
@@ -125,7 +125,7 @@
 		_, err := r.handleOrders(t.Context(), nil, orders)
 		assert.NilError(t, err)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, len(worker.stopped()), 1, "it is taken back where it was sent")
+		assert.Equal(t, len(worker.stopped()), 1, "it is withdrawn where it was sent")
 		restartWorker(r, worker)
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1), testRun(1)})
 		time.Sleep(host.MaxCallDelay)
@@ -136,7 +136,7 @@
 	})
 }
 
-// TestOrdersForAnEndedIncarnationAreNotCarriedOut, also while the next one has not reported yet, which they would reach.
+// TestOrdersForAnEndedIncarnationAreNotCarriedOut, even before the next incarnation reports, which the calls would reach.
 func TestOrdersForAnEndedIncarnationAreNotCarriedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -146,7 +146,7 @@
 		orders := startOrders()
 		orders.StartMillis = firstIncarnation.StartMillis()
 		_, err := r.handleOrders(t.Context(), nil, orders)
-		assert.NilError(t, err, "the leader is not at fault")
+		assert.NilError(t, err, "the leader cannot know of the end yet")
 		time.Sleep(time.Second)
 		assert.Equal(t, len(worker.started()), 0)
 		restartWorker(r, worker)
@@ -155,13 +155,13 @@
 		orders.StartMillis = 0
 		r.agentLeaseEnd, r.hall.confirmedAt = r.config.Uptime.Now().Add(5*time.Second), r.config.Uptime.Now()
 		_, err = r.handleOrders(t.Context(), nil, orders)
-		assert.NilError(t, err, "a leader of the release before leaves the birth out")
+		assert.NilError(t, err, "a leader of the previous release omits the start time")
 		time.Sleep(time.Second)
 		assert.Equal(t, len(worker.started()), 1)
 	})
 }
 
-// TestLeaseOfPreviousIncarnationMayApplyToNext, which a call may have reached with a time of the other clock.
+// TestLeaseOfPreviousIncarnationMayApplyToNext covers a renewal that reached the next incarnation with a deadline on the previous one's clock.
 func TestLeaseOfPreviousIncarnationMayApplyToNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
@@ -176,7 +176,7 @@
 	})
 }
 
-// TestIncarnationIsConfirmedByTheWorker, not what a report claims: reports with another birth, or none, come from unknown senders.
+// TestIncarnationIsConfirmedByTheWorker checks that reports with another start time, or none, change nothing: they come from unknown senders.
 func TestIncarnationIsConfirmedByTheWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
@@ -191,11 +191,11 @@
 	})
 }
 
-// TestRunOnNextIncarnationIsNotAttributedTheCrash plays what callers saw in a test: a job was given up though no two workers had crashed
+// TestRunOnNextIncarnationIsNotAttributedTheCrash reproduces a failure seen by callers in a test: a job was given up though no two workers had crashed
 // under a task of it.
 //
-// Order of events: a worker crashes and is back under its id; a start that is meant for the old incarnation reaches the next one, which accepts it;
-// the agent finds the next incarnation. Cause: what had been accepted last was taken for what had crashed the worker, and twice gives a job up.
+// Order of events: a worker crashes and returns under its id; a start for the previous incarnation reaches the next one, which accepts it; the agent
+// finds the next incarnation. Cause: the crash was attributed to the run accepted last, and a job is given up after two such crashes.
 func TestRunOnNextIncarnationIsNotAttributedTheCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -210,11 +210,11 @@
 		crashes := reportedCrashes(r)
 		assert.Equal(t, len(crashes), 1)
 		assert.Equal(t, len(crashes[0].Runs), 1)
-		assert.Equal(t, crashes[0].Runs[0].Number, 3, "it was listed by the one that crashed")
+		assert.Equal(t, crashes[0].Runs[0].Number, 3, "it was listed by the incarnation that crashed")
 	})
 }
 
-// TestIncarnationThatNeverAnsweredHasNotCrashed: an unknown sender reported it before the worker did.
+// TestIncarnationThatNeverAnsweredHasNotCrashed covers a report by an unknown sender before the worker's own.
 func TestIncarnationThatNeverAnsweredHasNotCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: firstIncarnation}
@@ -252,12 +252,12 @@
 	})
 }
 
-// TestStopOnTheNextIncarnationHidesNoCrash plays a soak (seed 9107): a task that crashes its workers was started three times more after three of them
-// had crashed.
+// TestStopOnTheNextIncarnationHidesNoCrash reproduces a soak (seed 9107): a task that crashes its workers was started three more times after three of
+// them had crashed.
 //
-// Order of events: a worker crashes under a run; the leader orders its stop; the worker is back under its id and answers the stop; the agent learns of
-// the new incarnation some milliseconds later. Cause: the agent took the answer for one of the incarnation that had crashed, forgot the run, and
-// reported a crash without it. Evidence: such a crash with "runs=0", 2 ms after the stops of five runs there.
+// Order of events: a worker crashes under a run; the leader orders its stop; the worker returns under its id and answers the stop; the agent learns of
+// the new incarnation some milliseconds later. Cause: the agent attributed the answer to the crashed incarnation, removed the run, and reported a
+// crash without it. Evidence: such a crash with "runs=0", 2 ms after the stops of five runs there.
 func TestStopOnTheNextIncarnationHidesNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
--- a/internal/runner/late.go
+++ b/internal/runner/late.go
@@ -9,36 +9,36 @@
 	"github.com/saffronpulley/saffronpulley/internal/incarnation"
 )
 
-// lateStart is a start that got no answer, by the id of the worker that it was sent to.
+// lateStart is a start that got no answer, identified by the id of the worker that it was sent to.
 type lateStart struct {
 	worker string
 	run    host.Run
 }
 
-// recordLateStart records a start that got no answer. A later incarnation under the same id may carry it out too.
+// recordLateStart records a start that got no answer, which a later incarnation with the same id may still carry out.
 func (r *Runner) recordLateStart(id incarnation.ID, run host.Run, now time.Time) {
 	r.lateStarts.Add(lateStart{worker: id.Worker(), run: run}, now)
 }
 
-// lateStartDelay returns for how long after its stop a run is not reported as refused: the stop binds one incarnation, and a start that got no answer
-// may be carried out by the next. That takes up to host.LateFor, so it is waited for only where the worker has returned under an id before, and not
-// for a lasting task, which would be away for longer than its callers bear.
+// lateStartDelay returns how long after its stop a run is not reported as refused: the stop binds one incarnation, while the next may still carry out
+// a start that got no answer, for up to host.MaxCallDelay. The delay applies only if the worker has reused an id before, and not to a long-running
+// task, which would be down for longer than its callers can tolerate.
 func (r *Runner) lateStartDelay(w *workerState, run host.Run) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	recorded, late := r.lateStarts[lateStart{worker: w.id.Worker(), run: run}]
-	if !late || !r.idReused || w.profiles[run].LongRunning {
+	recordedAt, known := r.lateStarts[lateStart{worker: w.id.Worker(), run: run}]
+	if !known || !r.idReused || w.profiles[run].LongRunning {
 		return 0
 	}
-	return time.Until(recorded.Add(host.MaxCallDelay))
+	return time.Until(recordedAt.Add(host.MaxCallDelay))
 }
 
-// lateStartRuns returns the runs that an incarnation may still be given by late starts, in order.
+// lateStartRuns returns the runs that late starts may still start on an incarnation, sorted by task.
 func (r *Runner) lateStartRuns(id incarnation.ID, now time.Time) []host.Run {
 	var runs []host.Run
-	for s := range r.lateStarts {
-		if s.worker == id.Worker() && r.lateStarts.Has(s, now) {
-			runs = append(runs, s.run)
+	for start := range r.lateStarts {
+		if start.worker == id.Worker() && r.lateStarts.Has(start, now) {
+			runs = append(runs, start.run)
 		}
 	}
 	slices.SortFunc(runs, func(a, b host.Run) int { return strings.Compare(a.Task.String(), b.Task.String()) })
--- a/internal/runner/late_test.go
+++ b/internal/runner/late_test.go
@@ -11,21 +11,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestLateStartOnRestartedWorkerDelaysStopReport plays seeds 9107 and 8909 of the soak: a task ran again beside its replacement, or after its end
+// TestLateStartOnRestartedWorkerDelaysStopReport reproduces seeds 9107 and 8909 of the soak: a task ran again beside its replacement, or after its end
 // had been acknowledged.
 //
-// Order of events: a start gets no answer and is stopped, which the worker acknowledges; the leader places the task elsewhere, where it is done; the
-// worker crashes and is back under its id; the late start is carried out there before the agent knows of the new incarnation. Cause: a stop binds the
-// incarnation that acknowledged it, and the start outlived that.
+// Order of events: a start gets no answer and is stopped, which the worker acknowledges; the leader places the task elsewhere, where it completes; the
+// worker crashes and returns under its id; the late start is carried out there before the agent knows of the new incarnation. Cause: a stop binds only
+// the incarnation that acknowledged it, and the start was still pending afterwards.
 func TestLateStartOnRestartedWorkerDelaysStopReport(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		returned, lasting bool
-		held              bool
+		name                  string
+		idReused, longRunning bool
+		delayed               bool
 	}{
 		{"worker returned before", true, false, true},
 		{"worker never returned", false, false, false},
-		{"lasting task", true, true, false},
+		{"long-running task", true, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -33,8 +33,8 @@
 				r := newIncarnationTest(t, worker)
 				defer r.cancelOrders()
 				orders := startOrders()
-				orders.StartMillis, orders.Starts[0].LongRunning = firstIncarnation.StartMillis(), c.lasting
-				if c.returned {
+				orders.StartMillis, orders.Starts[0].LongRunning = firstIncarnation.StartMillis(), c.longRunning
+				if c.idReused {
 					restartWorker(r, worker)
 					orders.StartMillis = secondIncarnation.StartMillis()
 					r.agentLeaseEnd, r.hall.confirmedAt = r.config.Uptime.Now().Add(time.Minute), r.config.Uptime.Now()
@@ -44,8 +44,8 @@
 				time.Sleep(3 * time.Second)
 				assert.Equal(t, len(worker.stopped()), 1)
 				report, _ := r.compose()
-				assert.Equal(t, len(report.Pending) == 1, c.held, "%v", report.Pending)
-				assert.Equal(t, len(report.Rejected) == 0, c.held, "%v", report.Rejected)
+				assert.Equal(t, len(report.Pending) == 1, c.delayed, "%v", report.Pending)
+				assert.Equal(t, len(report.Rejected) == 0, c.delayed, "%v", report.Rejected)
 				time.Sleep(host.MaxCallDelay)
 				report, _ = r.compose()
 				assert.Equal(t, len(report.Pending), 0)
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// orderRetryDelay lies between two attempts at an order that got no answer.
+	// orderRetryDelay is the time between two attempts at an order that got no answer.
 	orderRetryDelay = 80 * time.Millisecond
-	// maxStartAttempts is how often a start is tried before it is taken back by a stop.
+	// maxStartAttempts is how often a start is sent before it is withdrawn by a stop.
 	maxStartAttempts = 4
-	// minStartTimeout and startMost bound how long a start waits for its answer: eight times the usual time, which is some milliseconds
-	// on one VM, and longer with each attempt. A repeated start is answered like the first.
+	// minStartTimeout and maxStartTimeout bound the timeout of a start: eight times the usual response time, which is some milliseconds on one VM, and
+	// longer with each attempt. A repeated start gets the same answer as the first.
 	minStartTimeout = 100 * time.Millisecond
 	maxStartTimeout = 600 * time.Millisecond
 )
 
-// handleOrders takes the lead's orders and carries them out afterwards; orders of an earlier lead or connection are refused.
+// handleOrders accepts the leader's orders and carries them out asynchronously; orders from an earlier leader or connection are refused.
 func (r *Runner) handleOrders(_ context.Context, p *rpc.Peer, orders link.Orders) (link.Empty, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,12 +32,12 @@
 		return link.Empty{}, fault.New(fault.Stale, "the agent follows epoch %d", r.epoch)
 	}
 	w := r.worker
-	if meant := orders.Incarnation(); w == nil || !w.id.MayEqual(meant) {
-		return link.Empty{}, fault.New(fault.Stale, "incarnation %s of the worker has ended", meant)
+	if target := orders.Incarnation(); w == nil || !w.id.MayEqual(target) {
+		return link.Empty{}, fault.New(fault.Stale, "incarnation %s of the worker has ended", target)
 	}
 	if w.terminated {
-		// The next report says so; meanwhile they would reach the next incarnation under the same id.
-		r.logger.Info("orders for an ended incarnation are dropped; instance=%s starts=%d stops=%d", w.id, len(orders.Starts), len(orders.Stops))
+		// The next report says that the incarnation has ended; until then orders would reach the next one under the same id.
+		r.logger.Info("orders for an ended incarnation dropped; instance=%s starts=%d stops=%d", w.id, len(orders.Starts), len(orders.Stops))
 		return link.Empty{}, nil
 	}
 	r.hall.update(orders.Hall, r.hall.connectedAt)
@@ -59,14 +59,14 @@
 	return link.Empty{}, nil
 }
 
-// startRun carries out a start unless it is under way already.
+// startRun carries out a start unless the run was already ordered or refused.
 func (r *Runner) startRun(w *workerState, run host.Run, start *link.Start, text string) {
 	if w.orders[run] != nil || run.Number <= w.refused[run.Task] {
 		return
 	}
 	w.profiles[run] = start.Profile
 	if w.lists(run) {
-		// Sent once more it could reach the next incarnation under the same id.
+		// A second start could reach the next incarnation under the same id.
 		return
 	}
 	ctx, cancel := context.WithCancel(r.runContext)
@@ -81,23 +81,23 @@
 	r.orderTasks.Go(func() { r.sendStart(ctx, w, run, o) })
 }
 
-// checkStart returns why the agent refuses a start for itself, Accepted where it does not.
+// checkStart returns why the agent itself refuses a start, Accepted if it does not.
 func (r *Runner) checkStart(w *workerState, run host.Run, start *link.Start) host.Refusal {
 	switch {
 	case w.report.Draining:
 		return host.RefusedBusy
 	case start.BestEffort && w.violatesTargetFor(pacing.ViolationGrace):
-		r.logger.Info("start refused beside a task that is over its target; task=%s run=%d", run.Task, run.Number)
+		r.logger.Info("start refused because a serving task exceeds its latency target; task=%s run=%d", run.Task, run.Number)
 		return host.RefusedBusy
 	case !w.fits(run, start):
-		r.logger.Info("start refused for want of room; task=%s run=%d taken=%v capacity=%v",
+		r.logger.Info("start refused for lack of capacity; task=%s run=%d taken=%v capacity=%v",
 			run.Task, run.Number, w.reserved(), w.report.Capacity)
 		return host.RefusedCapacity
 	}
 	return host.Accepted
 }
 
-// stopRun carries out a stop, in place of a start that is under way.
+// stopRun carries out a stop and cancels a start of the run that is in progress.
 func (r *Runner) stopRun(w *workerState, run host.Run) {
 	if o := w.orders[run]; o != nil {
 		if o.stop {
@@ -111,51 +111,51 @@
 	r.orderTasks.Go(func() { r.sendStop(ctx, w, run, o) })
 }
 
-// isCurrent reports whether the order still counts: the same incarnation of the worker, the same epoch, and no newer order.
+// isCurrent reports whether an order is still valid: same incarnation of the worker, same epoch, no newer order for the run.
 func (r *Runner) isCurrent(w *workerState, run host.Run, o *order) bool {
 	return r.worker == w && !w.terminated && w.orders[run] == o
 }
 
-// sendStart tries a sendStart until the worker answers; one that may have been done is taken back by a stop.
+// sendStart sends a start until the worker answers; one that may have been carried out is withdrawn by a stop.
 func (r *Runner) sendStart(ctx context.Context, w *workerState, run host.Run, o *order) {
 	defer o.cancel()
-	doubtful := false
-	patience := r.startTimeout.First()
+	outcomeUnknown := false
+	timeout := r.startTimeout.First()
 	for range maxStartAttempts {
-		until, fence, counts := r.prepareStart(w, run, o)
-		if !counts || ctx.Err() != nil {
+		until, fence, valid := r.prepareStart(w, run, o)
+		if !valid || ctx.Err() != nil {
 			return
 		}
 		if until == 0 {
 			break
 		}
-		refusal, err := r.tryStart(ctx, patience, w.id, host.Start{
+		refusal, err := r.tryStart(ctx, timeout, w.id, host.Start{
 			Run: run, Text: o.text, Until: until, Fence: fence, Checkpoint: o.start.Checkpoint, Ticket: o.start.Ticket,
 		})
-		patience = r.startTimeout.Extend(patience)
-		if err == nil && !r.fenceRaised(fence, refusal) && r.recordStartAnswer(w, run, o, refusal, doubtful) {
+		timeout = r.startTimeout.Extend(timeout)
+		if err == nil && !r.fenceRaised(fence, refusal) && r.recordStartAnswer(w, run, o, refusal, outcomeUnknown) {
 			return
 		}
 		stale := fault.Is(err, fault.Stale)
 		unanswered := err != nil && !stale && !fault.Is(err, fault.Unavailable)
-		doubtful = doubtful || unanswered
-		r.recordFailedStart(w, run, unanswered, doubtful)
+		outcomeUnknown = outcomeUnknown || unanswered
+		r.recordFailedStart(w, run, unanswered, outcomeUnknown)
 		if stale {
 			return
 		}
 		wait.For(ctx, orderRetryDelay)
 	}
-	r.withdrawStart(w, run, o, doubtful)
+	r.withdrawStart(w, run, o, outcomeUnknown)
 }
 
-// tryStart sends a start that waits for its answer for a time.
-func (r *Runner) tryStart(ctx context.Context, patience time.Duration, id incarnation.ID, start host.Start) (host.Refusal, error) {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+// tryStart sends a start once, with a timeout for the answer.
+func (r *Runner) tryStart(ctx context.Context, timeout time.Duration, id incarnation.ID, start host.Start) (host.Refusal, error) {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	refusal, err := r.config.Worker.Start(bounded, id, start)
 	if err == nil {
-		r.startTimeout.Observe(time.Since(asked))
+		r.startTimeout.Observe(time.Since(sentAt))
 	}
 	return refusal, err
 }
@@ -167,8 +167,8 @@
 	return refusal == host.RefusedFence && fence < r.fences.current
 }
 
-// prepareStart returns up to when a start may run, 0 where nothing may start any more, the fence to send it under, and whether the
-// order still counts.
+// prepareStart returns the deadline of a run to start, 0 if nothing may start any more, the fence to send the start under, and whether the order is
+// still valid.
 func (r *Runner) prepareStart(w *workerState, run host.Run, o *order) (host.Clock, uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,32 +176,32 @@
 	if w.report.Draining || !r.hall.allowsStart(r.config.Uptime.Now(), r.config.ClosedWithin) {
 		until = 0
 	}
-	counts := r.isCurrent(w, run, o)
-	if !counts || until == 0 {
-		return until, 0, counts
+	valid := r.isCurrent(w, run, o)
+	if !valid || until == 0 {
+		return until, 0, valid
 	}
 	w.possibleRuns.recordStart(run)
-	return until, r.fences.use(), counts
+	return until, r.fences.use(), valid
 }
 
-// withdrawStart gives up a start that was not accepted: by a stop, where the worker may have done it.
-func (r *Runner) withdrawStart(w *workerState, run host.Run, o *order, doubtful bool) {
+// withdrawStart gives up a start that was not accepted: by a stop if the worker may have carried it out.
+func (r *Runner) withdrawStart(w *workerState, run host.Run, o *order, outcomeUnknown bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.isCurrent(w, run, o) {
 		return
 	}
-	if !doubtful {
+	if !outcomeUnknown {
 		o.refuse(w, run, host.RefusedBusy)
 		wait.Notify(r.reportDue)
 		return
 	}
-	r.logger.Warn("start without an answer is taken back; task=%s run=%d", run.Task, run.Number)
+	r.logger.Warn("withdrawing a start without an answer; task=%s run=%d", run.Task, run.Number)
 	r.stopRun(w, run)
 }
 
-// recordStartAnswer takes the worker's answer to a start and reports whether the order is at its end.
-func (r *Runner) recordStartAnswer(w *workerState, run host.Run, o *order, refusal host.Refusal, doubtful bool) bool {
+// recordStartAnswer records the worker's answer to a start and reports whether the order is complete.
+func (r *Runner) recordStartAnswer(w *workerState, run host.Run, o *order, refusal host.Refusal, outcomeUnknown bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.isCurrent(w, run, o) {
@@ -215,7 +215,7 @@
 		return true
 	case refusal == host.RefusedLate:
 		return false
-	case doubtful && refusal != host.RefusedOld:
+	case outcomeUnknown && refusal != host.RefusedOld:
 		return false
 	}
 	r.logger.Info("start refused; task=%s run=%d refusal=%s", run.Task, run.Number, refusal)
@@ -224,7 +224,7 @@
 	return true
 }
 
-// sendStop tries a sendStop until the worker answers; then the run is no more and never will be.
+// sendStop sends a stop until the worker answers; the run has then ended and can no longer start.
 func (r *Runner) sendStop(ctx context.Context, w *workerState, run host.Run, o *order) {
 	defer o.cancel()
 	for ctx.Err() == nil {
@@ -258,7 +258,7 @@
 	wait.Notify(r.reportDue)
 }
 
-// parseRun reads the name of a run, false where it names no task.
+// parseRun parses a run, false if its task is not a valid task id.
 func parseRun(r link.Run) (host.Run, bool) {
 	id, ok := r.TaskID()
 	return host.Run{Task: id, Number: r.Number}, ok
--- a/internal/runner/possible_test.go
+++ b/internal/runner/possible_test.go
@@ -15,8 +15,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// TestPossibleRunsOfAnIncarnation: what the worker accepted or listed, and what was asked for of late; not what ended, nor what it does
-// not list once a start for it no longer counts.
+// TestPossibleRunsOfAnIncarnation covers runs that the worker accepted or listed and recent starts, but neither ended runs nor runs that it does not
+// list after their starts have expired.
 func TestPossibleRunsOfAnIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runs := make(possible)
@@ -30,13 +30,13 @@
 			Running: []host.Running{{Run: testRun(2)}, {Run: testRun(7)}}, Ended: []host.EndedRun{{Run: testRun(3)}},
 		}, time.Now())
 		assert.Equal(t, len(runs.runsAtEnd(time.Now())), 5, "all but run 3, which has ended: %v", runs.runsAtEnd(time.Now()))
-		assert.Equal(t, runs[testRun(1)].age(), time.Duration(0), "it was never listed")
+		assert.Equal(t, runs[testRun(1)].age(), time.Duration(0), "the run was never listed")
 		assert.Equal(t, runs[testRun(1)].ageAt(time.Time{}), time.Duration(0))
-		assert.Equal(t, runs[testRun(1)].ageAt(time.Now().Add(-100*time.Millisecond)), 900*time.Millisecond, "the worker crashed just before")
+		assert.Equal(t, runs[testRun(1)].ageAt(time.Now().Add(-100*time.Millisecond)), 900*time.Millisecond, "the worker crashed 100 ms ago")
 		assert.Equal(t, runs[testRun(2)].age(), time.Second)
-		assert.Equal(t, runs[testRun(7)].age(), time.Duration(0), "when it began is not known")
+		assert.Equal(t, runs[testRun(7)].age(), time.Duration(0), "the start time of the run is unknown")
 		time.Sleep(runLease - time.Second)
-		assert.Equal(t, len(runs.runsAtEnd(time.Now())), 4, "run 0 was asked for too long ago")
+		assert.Equal(t, len(runs.runsAtEnd(time.Now())), 4, "the start of run 0 has expired")
 		runs.applyView(host.View{Running: []host.Running{{Run: testRun(2)}}}, time.Now())
 		assert.DeepEqual(t, runNumbers(runs), []int{2, 4, 7})
 		time.Sleep(runLease)
@@ -45,7 +45,7 @@
 	})
 }
 
-// runNumbers returns the runNumbers of the runs that a life may have had, in order.
+// runNumbers returns the sorted numbers of the runs that an incarnation may have had.
 func runNumbers(runs possible) []int {
 	var found []int
 	for _, run := range runs.runsAtEnd(time.Now()) {
@@ -55,7 +55,7 @@
 	return found
 }
 
-// TestUnsentStartIsNotAttributedACrash: the worker was gone before the start left.
+// TestUnsentStartIsNotAttributedACrash covers a worker that ended before the start was sent.
 func TestUnsentStartIsNotAttributedACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: func() (host.Refusal, error) {
@@ -71,8 +71,8 @@
 	})
 }
 
-// TestRunOrderedAgainAfterACrashIsReported failed with no run named: a lead that does not see a run orders it again,
-// and the worker, which is gone, takes no connection; that the start then was not sent says nothing of the first time.
+// TestRunOrderedAgainAfterACrashIsReported failed with no run in the crash: a leader orders a run again that is missing from reports, and the ended
+// worker refuses the connection. That the second start was not sent does not undo the first.
 func TestRunOrderedAgainAfterACrashIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, worker := newStartedTest(t)
@@ -83,16 +83,16 @@
 		worker.mu.Unlock()
 		_, err := r.handleOrders(t.Context(), nil, startOrders())
 		assert.NilError(t, err)
-		// Not at a moment at which the next hold begins.
+		// The time must differ from the start of the next renewal.
 		time.Sleep(900 * time.Millisecond)
 		restartUnderNewID(r, worker)
-		told := reportedCrashes(r)
-		assert.Equal(t, len(told), 1)
-		assert.DeepEqual(t, told[0].Runs, []link.CrashedRun{{Run: wireRun(testRun(1)), Answered: true}})
+		crashes := reportedCrashes(r)
+		assert.Equal(t, len(crashes), 1)
+		assert.DeepEqual(t, crashes[0].Runs, []link.CrashedRun{{Run: wireRun(testRun(1)), Answered: true}})
 	})
 }
 
-// newStartedTest returns an agent that holds a worker which has accepted the test's run.
+// newStartedTest returns an agent whose worker has accepted the test's run.
 func newStartedTest(t *testing.T) (*Runner, *fakeWorker) {
 	t.Helper()
 	worker := &fakeWorker{current: testID, answerStart: accept}
@@ -104,38 +104,38 @@
 	return r, worker
 }
 
-// restartUnderNewID ends the life of a worker, and lets its agent find the next one.
+// restartUnderNewID ends the worker's incarnation and reports the next one to the agent.
 func restartUnderNewID(r *Runner, worker *fakeWorker) {
 	worker.restart(incarnation.New("i-3", 0))
 	r.Reported(host.Report{Incarnation: incarnation.New("i-3", 0), Service: "s", Sequence: 1})
 	time.Sleep(time.Second)
 }
 
-// reportedCrashes returns what a report tells of crashes.
+// reportedCrashes returns the crashes in the agent's next report.
 func reportedCrashes(r *Runner) []link.Crash {
 	report, _ := r.compose()
 	return report.Crashes
 }
 
-// TestCrashIsReportedUntilALeaderCommitsIt, also to the next lead.
+// TestCrashIsReportedUntilALeaderCommitsIt, also to the next leader.
 func TestCrashIsReportedUntilALeaderCommitsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, worker := newStartedTest(t)
 		restartUnderNewID(r, worker)
-		told := reportedCrashes(r)
-		assert.Equal(t, len(told), 1)
-		assert.Equal(t, told[0].Instance, "i-1")
-		assert.DeepEqual(t, told[0].Runs, []link.CrashedRun{{Run: wireRun(testRun(1)), Answered: true}})
+		crashes := reportedCrashes(r)
+		assert.Equal(t, len(crashes), 1)
+		assert.Equal(t, crashes[0].Instance, "i-1")
+		assert.DeepEqual(t, crashes[0].Runs, []link.CrashedRun{{Run: wireRun(testRun(1)), Answered: true}})
 		assert.NilError(t, r.adoptLeader(nil, record.Leader{Epoch: 4}))
-		assert.Equal(t, len(reportedCrashes(r)), 1, "the next lead is told as well")
-		r.crashes.acknowledge(told[0].Number - 1)
+		assert.Equal(t, len(reportedCrashes(r)), 1, "the crash is reported to the next leader too")
+		r.crashes.acknowledge(crashes[0].Number - 1)
 		assert.Equal(t, len(reportedCrashes(r)), 1)
-		r.crashes.acknowledge(told[0].Number)
+		r.crashes.acknowledge(crashes[0].Number)
 		assert.Equal(t, len(reportedCrashes(r)), 0)
 	})
 }
 
-// TestReportHasTimeOfFirstFailedCall, so that a lead sees which workers crashed at one moment.
+// TestReportHasTimeOfFirstFailedCall, by which a leader recognizes workers that crashed at the same time.
 func TestReportHasTimeOfFirstFailedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, worker := newStartedTest(t)
@@ -150,7 +150,7 @@
 	})
 }
 
-// TestPlannedEndIsReportedAsPlanned: the worker had said that it leaves, or took its leave.
+// TestPlannedEndIsReportedAsPlanned if the worker was draining or had deregistered.
 func TestPlannedEndIsReportedAsPlanned(t *testing.T) {
 	for name, leave := range map[string]func(*Runner){
 		"draining": func(r *Runner) {
@@ -163,16 +163,16 @@
 				r, worker := newStartedTest(t)
 				leave(r)
 				restartUnderNewID(r, worker)
-				told := reportedCrashes(r)
-				assert.Equal(t, len(told), 1)
-				assert.Assert(t, told[0].Planned)
-				assert.Equal(t, len(told[0].Runs), 0)
+				crashes := reportedCrashes(r)
+				assert.Equal(t, len(crashes), 1)
+				assert.Assert(t, crashes[0].Planned)
+				assert.Equal(t, len(crashes[0].Runs), 0)
 			})
 		})
 	}
 }
 
-// TestUnacknowledgedCrashesAreBounded: the latest are kept.
+// TestUnacknowledgedCrashesAreBounded checks that the latest crashes are kept.
 func TestUnacknowledgedCrashesAreBounded(t *testing.T) {
 	var c crashes
 	forgotten := 0
@@ -184,7 +184,7 @@
 	assert.Equal(t, c.unacknowledged[maxCrashes-1].crash.Number, uint64(3*maxCrashes))
 }
 
-// TestCrashWithoutRunsIsReported, so that a lead does not hold it against what it had only placed there.
+// TestCrashWithoutRunsIsReported, so that a leader does not attribute it to tasks that it had only placed there.
 func TestCrashWithoutRunsIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID, answerStart: accept}
@@ -192,13 +192,13 @@
 		startLoops(t, r)
 		time.Sleep(time.Second)
 		restartUnderNewID(r, worker)
-		told := reportedCrashes(r)
-		assert.Equal(t, len(told), 1)
-		assert.Equal(t, len(told[0].Runs), 0)
+		crashes := reportedCrashes(r)
+		assert.Equal(t, len(crashes), 1)
+		assert.Equal(t, len(crashes[0].Runs), 0)
 	})
 }
 
-// TestStoppedRunTakesNoCapacity once the lists show that the incarnation which answered the stop lives on.
+// TestStoppedRunTakesNoCapacity once later views show that the incarnation which answered the stop is still running.
 func TestStoppedRunTakesNoCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newStartedTest(t)
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -20,13 +20,13 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// Config holds what an agent needs.
+// Config holds the settings and dependencies of an agent.
 type Config struct {
 	VM   string
 	Hall string
 	// ClosedWithin is the time after which nothing may start in a hall that the operators have closed.
 	ClosedWithin time.Duration
-	// LongestHold is the longest time for which the worker lets itself be held.
+	// LongestHold is the longest lease that the worker grants its runs.
 	LongestHold time.Duration
 	Worker      host.Worker
 	Store       *relay.Store
@@ -34,9 +34,9 @@
 	Clock       *timeline.Clock
 	// Dial connects to the leader.
 	Dial rpc.Dialer
-	// Uptime is the clock of what the agent was permitted and told, which counts suspensions.
+	// Uptime is the clock of leases and hall states; it counts time spent suspended.
 	Uptime boottime.Clock
-	// Random returns random numbers from 0 up to 1, which spread what all agents repeat.
+	// Random returns random numbers in [0, 1) that add jitter to retries and reconnects.
 	Random  func() float64
 	Secret  string
 	Logger  logging.Logger
@@ -48,44 +48,44 @@
 	config Config
 	logger logging.Logger
 	mux    *rpc.Mux
-	// reportDue wakes the uplink when there is something to report, settled the hold when ends were taken note of.
+	// reportDue signals the uplink that there is something to report, endsAcknowledged the renewal loop that ended runs were acknowledged.
 	reportDue        chan struct{}
 	endsAcknowledged chan struct{}
-	// heartbeat wakes what waits for the worker to report, nominated what asks it which incarnation it is.
+	// heartbeat signals the first report of a worker or incarnation, candidateAdded a candidate to verify.
 	heartbeat      chan struct{}
 	candidateAdded chan struct{}
-	// unusableLog bounds the log lines about reports that cannot be used.
+	// unusableLog rate-limits the log lines about unusable reports.
 	unusableLog rate.Sometimes
-	// outdatedLog bounds those about what came too late.
+	// outdatedLog rate-limits the log lines about outdated reports and answers.
 	outdatedLog rate.Sometimes
-	// startTimeout goes by how long starts usually take to be answered.
+	// startTimeout adapts to the usual response time of starts.
 	startTimeout *wait.Timeout
-	// runContext ends with Run; work counts the orders under way, which hang on it.
+	// runContext ends when Run returns; orderTasks counts the goroutines that carry out orders under it.
 	runContext context.Context
 	orderTasks sync.WaitGroup
-	// storeBackoff spreads the reads of the store where no entry answers, storeNext is when the next is due; only report uses them.
+	// storeBackoff spreads the reads of the store while no entry answers, nextStoreRead is when the next is due; only the uplink uses them.
 	storeBackoff  *wait.Backoff
 	nextStoreRead time.Time
 
-	// mu guards all below; no call is made while it is held.
+	// mu guards all fields below; no call is made while it is locked.
 	mu      sync.Mutex
 	epoch   uint64
 	fences  fences
 	session *rpc.Peer
-	// agentLeaseEnd is until when the worker may go on and be given work.
+	// agentLeaseEnd is when the agent lease expires: until then runs may continue and start.
 	agentLeaseEnd boottime.Instant
 	hall          hallState
-	// worker is the present incarnation of the worker, nil before it has reported.
+	// worker is the current incarnation of the worker, nil before its first report.
 	worker     *workerState
 	candidates []*workerState
 	ended      endedIncarnations
 	lateStarts host.LateCalls[lateStart]
-	// idReused says that the worker has started again under an id that it had before.
+	// idReused reports whether the worker has started again under an id that it had before.
 	idReused bool
 	crashes  crashes
 }
 
-// New returns an agent that knows neither its worker nor its lead.
+// New returns an agent without a worker or a leader.
 func New(config Config) *Runner {
 	r := &Runner{
 		config: config, logger: config.Logger, reportDue: make(chan struct{}, 1),
@@ -100,7 +100,7 @@
 	return r
 }
 
-// Run keeps the worker until ctx ends; what runs there goes on for as long as it is held. No order is under way once it returns.
+// Run serves the worker until ctx ends; its runs continue until their leases expire. No order is in progress after Run returns.
 func (r *Runner) Run(ctx context.Context) error {
 	group, bounded := errgroup.WithContext(ctx)
 	r.mu.Lock()
@@ -114,7 +114,7 @@
 	return group.Wait()
 }
 
-// cancelOrders ends all orders under way.
+// cancelOrders cancels all orders in progress.
 func (r *Runner) cancelOrders() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,17 +124,17 @@
 	r.worker = nil
 }
 
-// Reported takes the worker's report of itself and reports whether it is acknowledged.
+// Reported applies a report of the worker and returns whether to acknowledge it.
 func (r *Runner) Reported(report host.Report) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	switch {
 	case r.ended.has(report.Incarnation):
-		r.logger.Warn("report of an ended incarnation is ignored; instance=%s sequence=%d", report.Incarnation, report.Sequence)
+		r.logger.Warn("report of an ended incarnation ignored; instance=%s sequence=%d", report.Incarnation, report.Sequence)
 		return true
 	case r.worker == nil:
-		r.logger.Info("worker reports first; instance=%s service=%s cpu=%d memory=%d labels=%v draining=%t",
+		r.logger.Info("first report of a worker received; instance=%s service=%s cpu=%d memory=%d labels=%v draining=%t",
 			report.Incarnation, report.Service, report.Capacity.CPU, report.Capacity.Memory, report.Labels, report.Draining)
 		r.worker = newWorkerState(report, now)
 		wait.Notify(r.heartbeat)
@@ -142,14 +142,14 @@
 		r.addCandidate(report, now)
 		return true
 	case r.worker.report.Service != report.Service && r.worker.unknownService:
-		// An unknown sender may have reported under the name of the incarnation before it did itself.
-		r.logger.Warn("the worker is of another service than was reported first; instance=%s service=%s reported=%s",
+		// An unknown sender may have reported under this incarnation before the worker itself did.
+		r.logger.Warn("service of the first report replaced by that of the worker;  instance=%s service=%s reported=%s",
 			report.Incarnation, report.Service, r.worker.report.Service)
 		r.worker.report, r.worker.unknownService = report, false
 		wait.Notify(r.reportDue)
 	case r.worker.report.Service != report.Service:
 		r.unusableLog.Do(func() {
-			r.logger.Warn("report of another service under the worker's name is ignored; instance=%s service=%s known=%s",
+			r.logger.Warn("report of another service under the worker's incarnation ignored; instance=%s service=%s known=%s",
 				report.Incarnation, report.Service, r.worker.report.Service)
 		})
 		return false
@@ -158,35 +158,35 @@
 	return true
 }
 
-// updateReport stores a newer report of the present incarnation.
+// updateReport stores a newer report of the current incarnation.
 func (r *Runner) updateReport(report host.Report) {
-	before := r.worker.report
+	previous := r.worker.report
 	if !r.worker.updateReport(report) {
-		r.logOutdated("report", report.Incarnation, int64(report.Sequence), int64(before.Sequence)) //nolint:gosec // both are counts
+		r.logOutdated("report", report.Incarnation, int64(report.Sequence), int64(previous.Sequence)) //nolint:gosec // both are counts
 		return
 	}
-	if report.Draining && !before.Draining {
-		r.logger.Info("worker drains; instance=%s remaining_ms=%d", report.Incarnation, report.Remaining.Milliseconds())
+	if report.Draining && !previous.Draining {
+		r.logger.Info("worker is draining; instance=%s remaining_ms=%d", report.Incarnation, report.Remaining.Milliseconds())
 		wait.Notify(r.reportDue)
 	}
-	if report.Capacity != before.Capacity {
-		r.logger.Info("worker has another room; instance=%s before=%v now=%v", report.Incarnation, before.Capacity, report.Capacity)
+	if report.Capacity != previous.Capacity {
+		r.logger.Info("worker capacity changed; instance=%s before=%v now=%v", report.Incarnation, previous.Capacity, report.Capacity)
 		wait.Notify(r.reportDue)
 	}
 }
 
-// unusableLogInterval is how often reports that cannot be used are logged at the most; the others are counted.
+// unusableLogInterval is the minimum time between log lines about unusable reports; all are counted.
 const unusableLogInterval = 2 * time.Second
 
-// Unusable records a report that names no worker to use; what is known under its name stays as it is.
+// Unusable counts and logs a report that cannot be used; the state of the worker is unchanged.
 func (r *Runner) Unusable(instance string, reason error) {
 	r.config.Metrics.Counter("agent.unusable_reports").Inc(1)
 	r.unusableLog.Do(func() {
-		r.logger.Warn("report that cannot be used is ignored; instance=%q reason=%v", instance, reason)
+		r.logger.Warn("unusable report ignored; instance=%q reason=%v", instance, reason)
 	})
 }
 
-// Left records that an incarnation of the worker has ended by plan.
+// Left records that an incarnation of the worker has deregistered: its end is planned.
 func (r *Runner) Left(id incarnation.ID) {
 	r.logger.Info("worker left; instance=%s", id)
 	r.mu.Lock()
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -27,14 +27,14 @@
 // sameIncarnation compares incarnations by their value.
 var sameIncarnation = cmp.Comparer(func(a, b incarnation.ID) bool { return a == b })
 
-// testID is the incarnation that newTest knows.
+// testID is the incarnation of the worker of newTest.
 var testID = incarnation.New("i-1", 0)
 
 var testTask = job.TaskID{Job: "00000000000000aa"}
 
 func testRun(number int) host.Run { return host.Run{Task: testTask, Number: number} }
 
-// newTest returns an agent that follows epoch 3 and has a worker's life, permitted for 5 seconds.
+// newTest returns an agent that follows epoch 3 and has a worker and an agent lease of 5 seconds.
 func newTest(worker *fakeWorker) *Runner {
 	r := New(Config{VM: "vm", ClosedWithin: testClosedWithin, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Random: func() float64 { return 0.5 }, Metrics: metric.New()})
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Capacity: job.Size{CPU: 4000, Memory: 1000}, Sequence: 1})
@@ -59,9 +59,9 @@
 
 func TestStartIsCarriedOutOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ordered := make(chan struct{})
+		proceed := make(chan struct{})
 		worker := &fakeWorker{answerStart: func() (host.Refusal, error) {
-			<-ordered
+			<-proceed
 			return accept()
 		}}
 		r := newTest(worker)
@@ -69,7 +69,7 @@
 		assert.NilError(t, err)
 		_, err = r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
-		close(ordered)
+		close(proceed)
 		synctest.Wait()
 		assert.Equal(t, len(worker.started()), 1)
 		assert.Equal(t, worker.started()[0].Fence, uint64(3))
@@ -86,7 +86,7 @@
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, len(worker.started()), maxStartAttempts)
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1)})
-		// It is told as never started only after two views that do not show how it ended.
+		// It is reported as never started only after two views that do not list its end.
 		report, _ := r.compose()
 		assert.Equal(t, len(report.Rejected), 0)
 		assert.Equal(t, len(report.Pending), 1)
@@ -104,9 +104,9 @@
 	other.Instance = "i-0"
 	_, err := r.handleOrders(context.Background(), nil, other)
 	assert.Assert(t, fault.Is(err, fault.Stale))
-	old := startOrders()
-	old.Epoch = 2
-	_, err = r.handleOrders(context.Background(), nil, old)
+	earlier := startOrders()
+	earlier.Epoch = 2
+	_, err = r.handleOrders(context.Background(), nil, earlier)
 	assert.Assert(t, fault.Is(err, fault.Stale))
 	assert.Equal(t, len(worker.started()), 0)
 }
@@ -118,7 +118,7 @@
 	_, err := r.handleOrders(context.Background(), nil, startOrders())
 	assert.NilError(t, err)
 	assert.Equal(t, len(worker.started()), 0)
-	// A late report of before does not open it again.
+	// A delayed earlier report does not end the draining.
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Sequence: 1})
 	assert.Assert(t, r.worker.report.Draining)
 }
@@ -149,15 +149,15 @@
 func TestRunDeadlineEndsWithAgentLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
-		l := r.worker
-		l.clock, l.clockReadAt = host.Clock(100*time.Second), time.Now()
+		w := r.worker
+		w.clock, w.clockReadAt = host.Clock(100*time.Second), time.Now()
 		r.agentLeaseEnd = r.config.Uptime.Now().Add(2 * time.Second)
-		// A worker's clock that is 2 % slow shows this after two seconds.
-		assert.Equal(t, time.Duration(r.runDeadline(l)), 100*time.Second+1960*time.Millisecond)
+		// By a worker's clock that is 2 % slow, two seconds are 1.96 seconds.
+		assert.Equal(t, time.Duration(r.runDeadline(w)), 100*time.Second+1960*time.Millisecond)
 		r.agentLeaseEnd = r.config.Uptime.Now().Add(time.Minute)
-		assert.Equal(t, time.Duration(r.runDeadline(l)), 100*time.Second+time.Duration(minClockRate*float64(runLease)))
+		assert.Equal(t, time.Duration(r.runDeadline(w)), 100*time.Second+time.Duration(minClockRate*float64(runLease)))
 		r.agentLeaseEnd = r.config.Uptime.Now()
-		assert.Equal(t, r.runDeadline(l), host.Clock(0))
+		assert.Equal(t, r.runDeadline(w), host.Clock(0))
 	})
 }
 
@@ -201,37 +201,37 @@
 	r := newTest(&fakeWorker{answerStart: accept})
 	ended := host.View{Ended: []host.EndedRun{{Sequence: 7, Run: testRun(1), End: job.EndDone}}}
 	assert.Assert(t, r.recordRenewal(context.Background(), testID, host.Renewal{Fence: 3}, ended))
-	report, l := r.compose()
+	report, w := r.compose()
 	assert.Assert(t, report.Fenced)
 	assert.Equal(t, len(report.Ended), 1)
-	l.applyAnswer(report, link.ReportAnswer{Epoch: 3})
-	assert.Equal(t, l.acknowledgedEnds, uint64(0))
-	l.applyAnswer(report, link.ReportAnswer{Epoch: 3, AcknowledgedEnds: 7})
+	w.applyAnswer(report, link.ReportAnswer{Epoch: 3})
+	assert.Equal(t, w.acknowledgedEnds, uint64(0))
+	w.applyAnswer(report, link.ReportAnswer{Epoch: 3, AcknowledgedEnds: 7})
 	_, hold, _ := r.nextRenewal()
 	assert.Equal(t, hold.Acknowledged, uint64(7))
 }
 
-// Runs of the tests of the pace: a task that serves under a target of 10 ms, and one that fills.
+// Runs of the tests of paces: a serving task with a target of 10 ms, and a best-effort task.
 var (
 	servingRun    = host.Run{Task: job.TaskID{Job: "00000000000000bb"}, Number: 1}
 	bestEffortRun = host.Run{Task: job.TaskID{Job: "00000000000000cc"}, Number: 1}
 )
 
-// addTestTasks lets the agent know a serving task and a filling one beside it.
+// addTestTasks adds the profiles of a serving and a best-effort task.
 func addTestTasks(r *Runner) {
 	r.worker.profiles[servingRun] = link.Profile{Run: wireRun(servingRun), Image: "web", CPU: 1000, TargetMillis: 10, LongRunning: true}
 	r.worker.profiles[bestEffortRun] = link.Profile{Run: wireRun(bestEffortRun), Image: "mail", CPU: 1000, BestEffort: true}
 }
 
-// showTail lets the worker showTail a tail, in milliseconds, beside a filling task.
+// showTail applies a view with a tail latency of the serving task, in milliseconds, beside the best-effort task.
 func showTail(r *Runner, tail int) {
 	r.recordRenewal(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
 		{Run: servingRun, Percent: 100, Measurement: tail}, {Run: bestEffortRun, Measurement: 500},
 	}})
 }
 
-// TestNoBestEffortStartDuringSustainedViolation failed with filling tasks that were started two seconds after a serving
-// task had gone over its target, which was then over for four.
+// TestNoBestEffortStartDuringSustainedViolation failed with best-effort tasks that were started two seconds after a serving task had begun to violate
+// its target, which it then did for four seconds.
 func TestNoBestEffortStartDuringSustainedViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -253,11 +253,11 @@
 		_, err = r.handleOrders(context.Background(), nil, orders)
 		assert.NilError(t, err)
 		synctest.Wait()
-		assert.Equal(t, len(worker.started()), 1, "what does not fill starts")
+		assert.Equal(t, len(worker.started()), 1, "a task that is not best-effort starts")
 	})
 }
 
-// TestNewBestEffortTaskIsThrottledDuringViolation failed with a task of another image that ran at full pace until the next reckoning.
+// TestNewBestEffortTaskIsThrottledDuringViolation failed with a task of another image that ran at full pace until paces were next chosen.
 func TestNewBestEffortTaskIsThrottledDuringViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
@@ -267,17 +267,17 @@
 			time.Sleep(500 * time.Millisecond)
 			showTail(r, 20)
 		}
-		late := host.Run{Task: job.TaskID{Job: "00000000000000dd"}, Number: 1}
-		r.worker.profiles[late] = link.Profile{Run: wireRun(late), Image: "scan", CPU: 1000, BestEffort: true}
+		newRun := host.Run{Task: job.TaskID{Job: "00000000000000dd"}, Number: 1}
+		r.worker.profiles[newRun] = link.Profile{Run: wireRun(newRun), Image: "scan", CPU: 1000, BestEffort: true}
 		r.recordRenewal(context.Background(), testID, host.Renewal{Fence: 3}, host.View{Running: []host.Running{
-			{Run: servingRun, Percent: 100, Measurement: 20}, {Run: late, Measurement: 500},
+			{Run: servingRun, Percent: 100, Measurement: 20}, {Run: newRun, Measurement: 500},
 		}})
-		assert.Equal(t, r.worker.paceOf(late), pacing.Min)
+		assert.Equal(t, r.worker.paceOf(newRun), pacing.Min)
 	})
 }
 
-// TestViolationAtFirstViewCountsAsSustained failed with an agent that was started again beside a task that had been over
-// its target before, and took two seconds more to stop what slowed it.
+// TestViolationAtFirstViewCountsAsSustained failed with an agent that restarted beside a task that already violated its target, and took two seconds
+// more to throttle what slowed it down.
 func TestViolationAtFirstViewCountsAsSustained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
@@ -290,21 +290,21 @@
 	})
 }
 
-// TestPaceUsesLoadReportedByTheLeader: the lead knows from all workers that a load is about to rise, while the figures of one
-// task on one worker do not show it yet; what it told too long ago is not used.
+// TestPaceUsesLoadReportedByTheLeader: the leader predicts from all workers that a load is about to rise, which the measurements of one task on one
+// worker do not show yet; a load reported too long ago is not used.
 func TestPaceUsesLoadReportedByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
 		addTestTasks(r)
-		l, web := r.worker, host.Running{Run: servingRun, Percent: 100, Measurement: 5}
-		l.applyAnswer(link.Report{}, link.ReportAnswer{LoadFrequency: 0.6, Loads: map[string]link.Load{
+		w, serving := r.worker, host.Running{Run: servingRun, Percent: 100, Measurement: 5}
+		w.applyAnswer(link.Report{}, link.ReportAnswer{LoadFrequency: 0.6, Loads: map[string]link.Load{
 			servingRun.Task.StepName(): {Headroom: 2, Slope: -1, Mean: 2, Deviation: 0.2},
 		}})
-		headroom, deviation := l.predictHeadroom(time.Now(), web, l.profiles[servingRun], nil)
+		headroom, deviation := w.predictHeadroom(time.Now(), serving, w.profiles[servingRun], nil)
 		assert.Assert(t, headroom < 1.6 && headroom > 1.3, "%.2f", headroom)
 		assert.Equal(t, deviation, 0.2)
 		time.Sleep(maxLoadAge + time.Millisecond)
-		headroom, _ = l.predictHeadroom(time.Now(), web, l.profiles[servingRun], nil)
+		headroom, _ = w.predictHeadroom(time.Now(), serving, w.profiles[servingRun], nil)
 		assert.Assert(t, headroom > 1.8, "%.2f", headroom)
 	})
 }
--- a/internal/runner/start_timeout_test.go
+++ b/internal/runner/start_timeout_test.go
@@ -15,7 +15,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// unreliableWorker leaves every so many starts without an answer, and notes when each task was accepted.
+// unreliableWorker leaves every n-th start without an answer, and records when each task was accepted.
 type unreliableWorker struct {
 	fakeWorker
 	loseEvery  int
@@ -40,23 +40,22 @@
 	return host.Accepted, nil
 }
 
-// TestUnansweredStartsAreRetriedSoon plays jobs of sixteen tasks on a worker that leaves one order in twenty without an
-// answer: what decides a job is its slowest task. With a patience of 600 ms, 33 of the 640
-// tasks began 680 ms late.
+// TestUnansweredStartsAreRetriedSoon runs jobs of sixteen tasks on a worker that leaves one start in twenty without an answer: a job takes as long as
+// its slowest task. With a fixed timeout of 600 ms, 33 of the 640 tasks began 680 ms late.
 func TestUnansweredStartsAreRetriedSoon(t *testing.T) {
-	const jobs, tasks, soon = 40, 16, 200 * time.Millisecond
+	const jobs, tasks, maxDelay = 40, 16, 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		worker := &unreliableWorker{loseEvery: 20, accepted: make(map[job.TaskID]time.Time)}
 		r := newTest(&worker.fakeWorker)
 		r.config.Worker = worker
-		// This worker lists no ends, so that all tasks count as there.
+		// This worker lists no ended runs, so all tasks count as running.
 		r.worker.report.Capacity = job.Size{CPU: jobs * tasks * 1000}
-		late := 0
+		lateStarts := 0
 		for n := range jobs {
 			r.mu.Lock()
 			r.agentLeaseEnd, r.hall.confirmedAt = r.config.Uptime.Now().Add(5*time.Second), r.config.Uptime.Now()
 			r.mu.Unlock()
-			began := time.Now()
+			sentAt := time.Now()
 			id := job.ID([]byte{'a' + byte(n/26), 'a' + byte(n%26)})
 			orders := link.Orders{Epoch: 3, Instance: "i-1"}
 			for i := range tasks {
@@ -67,13 +66,13 @@
 			assert.NilError(t, err)
 			time.Sleep(2 * time.Second)
 			for i := range tasks {
-				at, started := worker.accepted[job.TaskID{Job: id + "00000000000000", Index: i}]
+				acceptedAt, started := worker.accepted[job.TaskID{Job: id + "00000000000000", Index: i}]
 				assert.Assert(t, started)
-				if at.Sub(began) > soon {
-					late++
+				if acceptedAt.Sub(sentAt) > maxDelay {
+					lateStarts++
 				}
 			}
 		}
-		assert.Equal(t, late, 0)
+		assert.Equal(t, lateStarts, 0)
 	})
 }
--- a/internal/runner/suspended_test.go
+++ b/internal/runner/suspended_test.go
@@ -13,7 +13,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/host"
 )
 
-// suspend lets the VM of an agent have been suspended for a time.
+// suspend advances the uptime of an agent as if its VM had been suspended.
 func suspend(t *testing.T, r *Runner, d time.Duration) {
 	t.Helper()
 	clock, ok := r.config.Uptime.(*boottimetest.Clock)
@@ -21,20 +21,20 @@
 	clock.Suspend(d)
 }
 
-// TestResumedAgentDoesNotRenewBeyondItsLease: a lead gives runs up once a permission of 5 s is over, and places them
-// elsewhere. By the steady clock an agent that wakes would hold its worker for as long again as it was suspended.
+// TestResumedAgentDoesNotRenewBeyondItsLease: a leader gives runs up once an agent lease of 5 s has expired, and places them elsewhere. By the steady
+// clock a resumed agent would extend its worker's runs by as long as it was suspended.
 func TestResumedAgentDoesNotRenewBeyondItsLease(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newTest(&fakeWorker{answerStart: accept})
 				suspend(t, r, d)
-				// The worker answers the agent that woke, so that its clock is known as of now.
+				// The worker answers the resumed agent, so that its clock is known.
 				r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
-				left := min(runLease, 5*time.Second-d)
+				remaining := min(runLease, 5*time.Second-d)
 				want := host.Clock(0)
-				if left > 0 {
-					want = host.Clock(time.Minute) + host.Clock(minClockRate*float64(left))
+				if remaining > 0 {
+					want = host.Clock(time.Minute) + host.Clock(minClockRate*float64(remaining))
 				}
 				assert.Equal(t, r.runDeadline(r.worker), want)
 			})
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestClockReadBeforeSuspensionIsNotAdvanced: the worker may have stood still with its agent.
+// TestClockReadBeforeSuspensionIsNotAdvanced by the suspension, in which the worker's clock may have stopped as well.
 func TestClockReadBeforeSuspensionIsNotAdvanced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestResumedAgentStartsNothingOnStaleState: neither after its permission, nor after what it was told of its hall is stale.
+// TestResumedAgentStartsNothingOnStaleState: neither after its lease has expired, nor with a stale hall state.
 func TestResumedAgentStartsNothingOnStaleState(t *testing.T) {
 	for _, d := range []time.Duration{hall.StaleAfter(testClosedWithin) + time.Millisecond, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestRunsOfResumedWorkerAreStopped failed with the run going on for 3.5 s after both woke, by a worker's clock that had
-// stood still.
+// TestRunsOfResumedWorkerAreStopped failed with a run that continued for 3.5 s after agent and worker resumed, by the worker's clock, which had stopped
+// during the suspension.
 func TestRunsOfResumedWorkerAreStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -79,7 +79,7 @@
 		_, _, ok := r.nextRenewal()
 		assert.Assert(t, ok)
 		synctest.Wait()
-		assert.Equal(t, len(worker.stopped()), 0, "it is permitted")
+		assert.Equal(t, len(worker.stopped()), 0, "the agent lease has not expired")
 		suspend(t, r, 20*time.Second)
 		_, hold, _ := r.nextRenewal()
 		assert.Equal(t, hold.Until, host.Clock(0))
--- a/internal/runner/uplink.go
+++ b/internal/runner/uplink.go
@@ -18,37 +18,37 @@
 	reportInterval = 600 * time.Millisecond
 	// reportTimeout bounds the answer to a report, which may wait for a commit.
 	reportTimeout = 1100 * time.Millisecond
-	// dialTimeout bounds how long a connection to the lead may take.
+	// dialTimeout bounds the time to connect to the leader.
 	dialTimeout = 500 * time.Millisecond
 )
 
-// runUplink keeps a connection to the lead and tells it what the worker has.
+// runUplink keeps a connection to the leader and reports the state of the worker.
 func (r *Runner) runUplink(ctx context.Context) error {
-	pause := wait.NewBackoff(minSearchDelay, maxSearchDelay, r.config.Random)
-	// failed is the epoch of a leader that did not answer.
-	failed := uint64(0)
+	backoff := wait.NewBackoff(minSearchDelay, maxSearchDelay, r.config.Random)
+	// afterEpoch is the epoch of a leader that did not answer.
+	afterEpoch := uint64(0)
 	for ctx.Err() == nil {
-		leader, err := r.findLeader(ctx, failed)
+		leader, err := r.findLeader(ctx, afterEpoch)
 		if err == nil {
 			wait.For(ctx, r.connectDelay(leader))
 			var reported bool
 			reported, err = r.reportTo(ctx, leader.Leader)
-			failed = failedEpoch(leader.Epoch, reported, err)
+			afterEpoch = failedEpoch(leader.Epoch, reported, err)
 			if reported {
-				pause.Reset()
+				backoff.Reset()
 				r.storeBackoff.Reset()
 			}
 		}
 		if ctx.Err() == nil {
-			r.logger.Warn("no lead; reason=%v", err)
-			wait.For(ctx, pause.Next()+retryAfter(err))
+			r.logger.Warn("no leader; reason=%v", err)
+			wait.For(ctx, backoff.Next()+retryAfter(err))
 		}
 	}
 	return ctx.Err()
 }
 
-// failedEpoch returns the epoch of a leader after which a later one is looked for, 0 where the same may lead on: it has answered reports, or says that it
-// does not lead, as one does that was elected just now and still reads the jobs.
+// failedEpoch returns the epoch after which a later leader is searched for, 0 if the same one may be used again: it has answered reports, or it answers
+// that it does not lead, as a newly elected leader does while it loads the jobs.
 func failedEpoch(epoch uint64, reported bool, err error) uint64 {
 	if reported || fault.Is(err, fault.Stale) {
 		return 0
@@ -56,7 +56,7 @@
 	return epoch
 }
 
-// retryAfter returns how long a leader that refuses this agent wants it to stay away.
+// retryAfter returns the retry delay requested by a leader that rejects this agent.
 func retryAfter(err error) time.Duration {
 	if fault.Is(err, fault.Overloaded) {
 		return fault.RetryAfter(err)
@@ -64,23 +64,23 @@
 	return 0
 }
 
-// reportTo reports to one lead until it does not answer or another leads, and returns whether it answered a report.
-func (r *Runner) reportTo(ctx context.Context, lead record.Leader) (bool, error) {
+// reportTo reports to one leader until it stops answering or is replaced, and returns whether it answered a report.
+func (r *Runner) reportTo(ctx context.Context, leader record.Leader) (bool, error) {
 	bounded, cancel := context.WithTimeout(ctx, dialTimeout)
-	session, err := rpc.DialWith(bounded, r.config.Dial, lead.Address, r.config.Secret, r.mux)
+	session, err := rpc.DialWith(bounded, r.config.Dial, leader.Address, r.config.Secret, r.mux)
 	cancel()
 	if err != nil {
 		return false, err
 	}
 	defer session.Close()
-	if err := r.adoptLeader(session, lead); err != nil {
+	if err := r.adoptLeader(session, leader); err != nil {
 		return false, err
 	}
-	r.logger.Info("lead followed; epoch=%d node=%s", lead.Epoch, lead.Process)
-	checked, u := time.Now(), &uplink{session: session}
+	r.logger.Info("connected to leader; epoch=%d node=%s", leader.Epoch, leader.Process)
+	checkedAt, u := time.Now(), &uplink{session: session}
 	reported := false
 	for ctx.Err() == nil {
-		doubtful, err := r.sendReport(ctx, u)
+		unverified, err := r.sendReport(ctx, u)
 		if err != nil {
 			return reported, err
 		}
@@ -88,16 +88,16 @@
 			r.sendFence(ctx)
 		}
 		reported = true
-		if doubtful && time.Since(checked) > leaderCheckInterval {
-			checked = time.Now()
-			if now, err := r.queryEntries(ctx, link.Leader{After: lead.Epoch, AtOnce: true}); err == nil && now.Epoch > lead.Epoch {
-				return reported, fault.New(fault.Stale, "epoch %d leads in place of %d", now.Epoch, lead.Epoch)
+		if unverified && time.Since(checkedAt) > leaderCheckInterval {
+			checkedAt = time.Now()
+			if latest, err := r.queryEntries(ctx, link.Leader{After: leader.Epoch, AtOnce: true}); err == nil && latest.Epoch > leader.Epoch {
+				return reported, fault.New(fault.Stale, "leader of epoch %d replaced that of %d", latest.Epoch, leader.Epoch)
 			}
 		}
 		select {
 		case <-ctx.Done():
 		case <-session.Done():
-			return reported, fault.New(fault.Unavailable, "the lead closed the connection")
+			return reported, fault.New(fault.Unavailable, "the leader closed the connection")
 		case <-r.reportDue:
 		case <-time.After(reportInterval):
 		}
@@ -105,30 +105,30 @@
 	return reported, ctx.Err()
 }
 
-// adoptLeader binds the agent to a lead; it never goes back to an earlier epoch.
-func (r *Runner) adoptLeader(session *rpc.Peer, lead record.Leader) error {
+// adoptLeader sets the leader; an earlier epoch than the current one is rejected.
+func (r *Runner) adoptLeader(session *rpc.Peer, leader record.Leader) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if lead.Epoch < r.epoch {
-		return fault.New(fault.Stale, "epoch %d is earlier than %d", lead.Epoch, r.epoch)
+	if leader.Epoch < r.epoch {
+		return fault.New(fault.Stale, "epoch %d is earlier than %d", leader.Epoch, r.epoch)
 	}
-	if lead.Epoch > r.epoch && r.worker != nil {
+	if leader.Epoch > r.epoch && r.worker != nil {
 		r.worker.cancelOrders()
 	}
-	r.epoch, r.session = lead.Epoch, session
+	r.epoch, r.session = leader.Epoch, session
 	r.hall.connectedAt = r.config.Uptime.Now()
 	return nil
 }
 
-// uplink is a connection to a lead, with what that knows by it.
+// uplink is a connection to a leader, with what the leader has received over it.
 type uplink struct {
 	session *rpc.Peer
-	// rowWriter is nil until the lead has shown that it reads rowWriter, list is which list of entries it told last.
+	// rowWriter is nil until the leader is known to read rows, entryList the number of the list of entries received last.
 	rowWriter *link.RowWriter
 	entryList uint64
 }
 
-// compact leaves out of a report what the lead has by this connection.
+// compact replaces the running runs of a report by rows if the leader reads them.
 func (u *uplink) compact(report *link.Report) {
 	report.List = u.entryList
 	if u.rowWriter != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// applyAnswer takes note of what the lead has by this connection.
+// applyAnswer updates the connection from the leader's answer.
 func (u *uplink) applyAnswer(answer link.ReportAnswer) {
 	u.entryList = answer.List
 	if u.entryList > 0 && u.rowWriter == nil {
@@ -145,9 +145,9 @@
 	}
 }
 
-// sendReport sends one report and takes the answer; without one the connection is of no use any more.
+// sendReport sends one report, applies the answer, and returns whether the leader is unverified. After an error the connection is closed.
 func (r *Runner) sendReport(ctx context.Context, u *uplink) (bool, error) {
-	sent := r.config.Uptime.Now()
+	sentAt := r.config.Uptime.Now()
 	report, w := r.compose()
 	u.compact(&report)
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -164,18 +164,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if answer.Epoch != r.epoch {
-		return false, fault.New(fault.Stale, "the lead has epoch %d, not %d", answer.Epoch, r.epoch)
+		return false, fault.New(fault.Stale, "the leader has epoch %d, not %d", answer.Epoch, r.epoch)
 	}
 	if r.fences.grant(r.epoch, answer.FirstFence, answer.LastFence) {
 		wait.Notify(r.heartbeat)
 	}
-	r.hall.update(answer.Hall, sent)
+	r.hall.update(answer.Hall, sentAt)
 	r.crashes.acknowledge(answer.AcknowledgedCrashes)
-	if w != nil && w == r.worker && !r.agentLeaseEnd.IsZero() && sent.After(r.agentLeaseEnd) {
+	if w != nil && w == r.worker && !r.agentLeaseEnd.IsZero() && sentAt.After(r.agentLeaseEnd) {
 		r.withdrawStarts(w)
 	}
-	if until := sent.Add(time.Duration(answer.LeaseMillis) * time.Millisecond); until.After(r.agentLeaseEnd) {
-		r.agentLeaseEnd = until
+	if leaseEnd := sentAt.Add(time.Duration(answer.LeaseMillis) * time.Millisecond); leaseEnd.After(r.agentLeaseEnd) {
+		r.agentLeaseEnd = leaseEnd
 	}
 	if w != nil && w == r.worker {
 		w.applyAnswer(report, answer)
@@ -184,18 +184,18 @@
 	return answer.Unverified, nil
 }
 
-// withdrawStarts takes back all starts under way: the permission was over meanwhile, so that the lead may have given their runs
-// up and placed them elsewhere. A start that is on its way to the worker is late by its own time.
+// withdrawStarts withdraws all starts in progress: the agent lease had expired meanwhile, so the leader may have given up their runs and placed them
+// elsewhere. The worker rejects a start that still arrives after its deadline.
 func (r *Runner) withdrawStarts(w *workerState) {
 	for run, o := range w.orders {
 		if o.start != nil && !o.final {
-			r.logger.Warn("start is taken back after the permission was over; task=%s run=%d", run.Task, run.Number)
+			r.logger.Warn("withdrawing a start after the agent lease expired; task=%s run=%d", run.Task, run.Number)
 			r.stopRun(w, run)
 		}
 	}
 }
 
-// applyAnswer stores what the leader has committed and knows.
+// applyAnswer stores what the leader's answer acknowledges and reports for this incarnation.
 func (w *workerState) applyAnswer(report link.Report, answer link.ReportAnswer) {
 	if report.Fenced {
 		w.acknowledgedEnds = max(w.acknowledgedEnds, answer.AcknowledgedEnds)
@@ -211,16 +211,16 @@
 	}
 }
 
-// loadsOf returns the loads that the lead tells of, as of a time.
-func loadsOf(told map[string]link.Load, now time.Time) map[string]pressure.Load {
-	loads := make(map[string]pressure.Load, len(told))
-	for name, t := range told {
-		loads[name] = pressure.Load{Headroom: t.Headroom, Slope: t.Slope, Mean: t.Mean, Deviation: t.Deviation, Time: now}
+// loadsOf converts loads reported by the leader, with the time of the report.
+func loadsOf(reported map[string]link.Load, now time.Time) map[string]pressure.Load {
+	loads := make(map[string]pressure.Load, len(reported))
+	for name, load := range reported {
+		loads[name] = pressure.Load{Headroom: load.Headroom, Slope: load.Slope, Mean: load.Mean, Deviation: load.Deviation, Time: now}
 	}
 	return loads
 }
 
-// compose returns the report of what the worker has now.
+// compose returns the report of the worker's current state.
 func (r *Runner) compose() (link.Report, *workerState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,10 +229,10 @@
 	if w == nil {
 		return report, nil
 	}
-	own := w.report
-	report.Instance, report.StartMillis, report.Service, report.Labels = w.id.Worker(), w.id.StartMillis(), own.Service, own.Labels
-	report.CPU, report.Memory, report.GPU = own.Capacity.CPU, own.Capacity.Memory, own.Capacity.GPU
-	report.Draining, report.RemainingMillis = own.Draining, own.Remaining.Milliseconds()
+	latest := w.report
+	report.Instance, report.StartMillis, report.Service, report.Labels = w.id.Worker(), w.id.StartMillis(), latest.Service, latest.Labels
+	report.CPU, report.Memory, report.GPU = latest.Capacity.CPU, latest.Capacity.Memory, latest.Capacity.GPU
+	report.Draining, report.RemainingMillis = latest.Draining, latest.Remaining.Milliseconds()
 	report.Silent, report.FirstFailureMillis = w.silent, millisSince(w.firstFailure)
 	report.Lapsed = w.silent && (w.idChanged || time.Now().After(w.leaseEnd))
 	report.Fenced = w.views > 0 && r.fences.covers(w.highestFence, r.epoch)
@@ -240,17 +240,17 @@
 	return report, w
 }
 
-// addRuns adds the runs of the latest view and the orders that are not settled.
+// addRuns adds the runs of the latest view and the unsettled orders to a report.
 func (w *workerState) addRuns(report *link.Report) {
-	shown := make(map[host.Run]bool, len(w.view.Ended)+len(w.view.Running))
+	listed := make(map[host.Run]bool, len(w.view.Ended)+len(w.view.Running))
 	for _, e := range w.view.Ended {
-		shown[e.Run] = true
+		listed[e.Run] = true
 		report.Ended = append(report.Ended, link.Ended{
 			Run: wireRun(e.Run), Sequence: e.Sequence, End: int(e.End), Checkpoint: e.Checkpoint,
 		})
 	}
 	for _, running := range w.view.Running {
-		shown[running.Run] = true
+		listed[running.Run] = true
 		if _, known := w.profiles[running.Run]; !known {
 			report.Unknown = append(report.Unknown, wireRun(running.Run))
 		}
@@ -263,7 +263,7 @@
 		switch {
 		case !o.final || !o.coveredBy(w.views):
 			report.Pending = append(report.Pending, wireRun(run))
-		case !shown[run]:
+		case !listed[run]:
 			report.Rejected = append(report.Rejected, link.Rejected{Run: wireRun(run), Refusal: int(o.refused)})
 		}
 	}
--- a/internal/runner/uplink_test.go
+++ b/internal/runner/uplink_test.go
@@ -9,7 +9,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestReportsUseRowsOnceTheLeaderReadsThem, and a lead of the release before, which numbers no list of entries, is told all each time.
+// TestReportsUseRowsOnceTheLeaderReadsThem, while a leader of the previous release, which numbers no list of entries, gets full reports.
 func TestReportsUseRowsOnceTheLeaderReadsThem(t *testing.T) {
 	running := []link.Running{{Run: link.NewRun(job.TaskID{Job: "00000000000000aa"}, 1), Percent: 7}}
 	for list, rows := range map[uint64]int{0: 0, 3: 1} {
@@ -18,7 +18,7 @@
 			report := link.Report{Running: running}
 			u.compact(&report)
 			if n == 0 {
-				assert.Equal(t, len(report.Running), 1, "nothing is known of the lead")
+				assert.Equal(t, len(report.Running), 1, "nothing is known of the leader yet")
 			} else {
 				assert.Equal(t, len(report.Rows), rows)
 				assert.Equal(t, len(report.Running), 1-rows)
--- a/internal/runner/worker.go
+++ b/internal/runner/worker.go
@@ -13,76 +13,76 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// workerState is all that the agent knows of one incarnation of the worker; it is replaced whole by that of the next.
+// workerState is the state of one incarnation of the worker; the next incarnation gets a new one.
 type workerState struct {
 	id     incarnation.ID
 	report host.Report
-	// unknownService says that no configuration names the service of the report, as the lead tells.
+	// unknownService reports whether no configuration names the service of the report, as reported by the leader.
 	unknownService bool
-	// clock is the worker's clock as of read, by which it had reached that.
+	// clock is a reading of the worker's clock, taken no later than clockReadAt.
 	clock       host.Clock
 	clockReadAt time.Time
-	// highestFence is the highest fence that the incarnation has answered under.
+	// highestFence is the highest fence under which the incarnation has answered.
 	highestFence uint64
-	// answeredAt is when the worker answeredAt last, until when its runs may go on at the latest by this clock.
+	// answeredAt is when the worker answered last, leaseEnd when its runs have ended at the latest, by this clock.
 	answeredAt time.Time
 	leaseEnd   time.Time
-	// confirmedAt is when the latest answer of this incarnation came, zero once a call has failed since.
+	// confirmedAt is when this incarnation answered last, zero once a call has failed since.
 	confirmedAt boottime.Instant
-	// firstFailure is when the calls to the worker began to break off, zero while they do not.
+	// firstFailure is when the calls to the worker began to fail, zero while they succeed.
 	firstFailure time.Time
-	// view is what the worker showed last, views counts what it showed, seen is up to which number the lead has its ends.
+	// view is the latest view, views the number of views received, acknowledgedEnds the sequence up to which the leader has committed ended runs.
 	view             host.View
 	views            uint64
 	acknowledgedEnds uint64
 	silent           bool
-	// terminated says that the worker has another incarnation, gone that this one has another id, left that it ended by plan, reported that its
-	// end was recorded for the leader.
+	// terminated reports whether the worker has another incarnation, idChanged whether that has another id, left whether this one deregistered before
+	// its end, endRecorded whether its end is queued for the leader.
 	terminated bool
 	idChanged  bool
-	// runsOnNext are runs that the next incarnation under the same id has: their starts reached that one.
+	// runsOnNext are the runs of the next incarnation with the same id, which their starts reached.
 	runsOnNext  map[host.Run]bool
 	left        bool
 	endRecorded bool
 	orders      map[host.Run]*order
-	// possibleRuns are the runs that it may have.
+	// possibleRuns are the runs that this incarnation may have.
 	possibleRuns possible
-	// refused is the highest run of each task that was refused; an order for it that comes again is not carried out.
+	// refused is the highest refused run of each task; a repeated order for it is ignored.
 	refused  map[job.TaskID]int
 	profiles map[host.Run]link.Profile
 	paces    map[host.Run]int
-	// targetPaces is the pace by image, presses what the lead told of the images that fill, adjusted when the paces were last
-	// reckoned.
+	// targetPaces are the paces by image, interference the weights reported by the leader, by best-effort and serving image, pacesSetAt when the paces
+	// were last chosen.
 	targetPaces  map[string]int
 	interference map[string]map[string]float64
 	pacesSetAt   time.Time
-	// violations is since when serving tasks have been violations their targets.
+	// violations are the times since which serving tasks have violated their latency targets.
 	violations map[host.Run]time.Time
-	// trackers follow the headrooms of serving tasks; used is the share of the worker that each image that fills used last.
+	// trackers follow the headrooms of serving tasks; usedShares is the share of the worker that each best-effort image used last.
 	trackers   map[host.Run]*pressure.Tracker
 	usedShares map[string]float64
-	// loadFrequency is how fast the loads of serving tasks loadFrequency, as the lead tells, 0 before that.
+	// loadFrequency is the frequency of load variations as reported by the leader, 0 before its first answer.
 	loadFrequency float64
-	// backlog is how backlog batch is, as the lead tells, from 0 to 1.
+	// backlog is the batch backlog as reported by the leader, from 0 to 1.
 	backlog float64
-	// loads are those of serving steps, as the lead tells; owns follow by how much single tasks are off them.
+	// loads are those of serving steps as reported by the leader; residuals follow the deviation of single tasks from them.
 	loads     map[string]pressure.Load
 	residuals map[host.Run]*pressure.Residual
 }
 
-// order is a start or a stop that is under way, or whose end is still to be told.
+// order is a start or stop that is in progress, or whose outcome is unreported.
 type order struct {
 	start  *link.Start
 	text   string
 	stop   bool
 	cancel context.CancelFunc
-	// refused is why the worker will never run it, with the number of views taken by then.
+	// refused is why the run will never run, final whether that is settled, viewsAtRefusal the number of views received by then.
 	refused        host.Refusal
 	final          bool
 	viewsAtRefusal uint64
 }
 
-// newWorkerState returns an incarnation of which only its first report is known.
+// newWorkerState returns the state of an incarnation from its first report.
 func newWorkerState(report host.Report, now time.Time) *workerState {
 	return &workerState{
 		id: report.Incarnation, report: report, clock: report.Clock, clockReadAt: now, answeredAt: now,
@@ -93,7 +93,7 @@
 	}
 }
 
-// updateReport stores a newer report of the incarnation and reports whether it did. A draining worker never becomes ready again.
+// updateReport stores a newer report and returns whether it is newer. A draining worker never becomes ready again.
 func (w *workerState) updateReport(report host.Report) bool {
 	if report.Sequence < w.report.Sequence {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// removeStopped forgets runs whose stop was answered before the last views were asked for. Until then a later incarnation may have answered it, and the
-// present one may have crashed under the run.
+// removeStopped removes the runs whose stop was answered before the latest view was requested. Until then the stop may have been answered by a later
+// incarnation while the current one crashed under the run.
 func (w *workerState) removeStopped() {
 	for run, o := range w.orders {
 		if o.final && o.refused == host.RefusedOld && o.coveredBy(w.views) {
@@ -113,19 +113,19 @@
 	}
 }
 
-// prune forgets refused orders of which the view shows how their runs ended, and profiles of runs that are no more.
+// prune removes refused orders whose runs the view lists as ended, and the state of runs that are gone.
 func (w *workerState) prune() {
 	for _, e := range w.view.Ended {
 		if o := w.orders[e.Run]; o != nil && o.final {
 			delete(w.orders, e.Run)
 		}
 	}
-	present := make(map[host.Run]bool, len(w.view.Running))
+	listed := make(map[host.Run]bool, len(w.view.Running))
 	for _, running := range w.view.Running {
-		present[running.Run] = true
+		listed[running.Run] = true
 	}
 	for run := range w.profiles {
-		if !present[run] && w.orders[run] == nil {
+		if !listed[run] && w.orders[run] == nil {
 			delete(w.profiles, run)
 			delete(w.violations, run)
 			delete(w.trackers, run)
@@ -135,10 +135,10 @@
 	}
 }
 
-// coveredBy reports whether the latest view was asked for after the refusal, so that it shows how the run ended if it did.
+// coveredBy reports whether the latest view was requested after the refusal, so that it lists the end of the run if there was one.
 func (o *order) coveredBy(views uint64) bool { return views >= o.viewsAtRefusal+viewsAfterEvent }
 
-// awaitsView reports whether the end of a stop is not reported yet because a view is missing. A task that waits for it runs nowhere.
+// awaitsView reports whether the end of a stop is unreported until the next view; the stopped task runs nowhere until then.
 func (w *workerState) awaitsView() bool {
 	for _, o := range w.orders {
 		if o.stop && o.final && !o.coveredBy(w.views) {
@@ -148,12 +148,12 @@
 	return false
 }
 
-// lists reports whether the latest view lists a run.
+// lists reports whether the latest view lists a run as running.
 func (w *workerState) lists(run host.Run) bool {
 	return slices.ContainsFunc(w.view.Running, func(r host.Running) bool { return r.Run == run })
 }
 
-// recordNextRuns records the runs that the next incarnation shows, at work or ended, where calls meant for this one reach it.
+// recordNextRuns records the running and ended runs of the next incarnation if calls for this one can reach it.
 func (w *workerState) recordNextRuns(view host.View) {
 	if !view.Incarnation.SameWorker(w.id) {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-// cancelOrders forgets the orders of an earlier leader; the worker refuses them once it has seen the new fence.
+// cancelOrders discards all orders; the worker rejects those on their way once it has received a higher fence.
 func (w *workerState) cancelOrders() {
 	for run, o := range w.orders {
 		o.cancel()
@@ -175,7 +175,7 @@
 	}
 }
 
-// addProfiles keeps what the lead tells of runs.
+// addProfiles stores the profiles of runs that the leader reported.
 func (w *workerState) addProfiles(profiles []link.Profile) {
 	for _, p := range profiles {
 		if run, ok := parseRun(p.Run); ok {
@@ -184,9 +184,9 @@
 	}
 }
 
-// refuse marks that the worker will never run what the order starts.
-func (o *order) refuse(w *workerState, run host.Run, why host.Refusal) {
+// refuse marks that the run of an order will never run.
+func (o *order) refuse(w *workerState, run host.Run, refusal host.Refusal) {
 	w.possibleRuns.removeUnanswered(run)
 	w.refused[run.Task] = max(w.refused[run.Task], run.Number)
-	o.refused, o.final, o.viewsAtRefusal = why, true, w.views
+	o.refused, o.final, o.viewsAtRefusal = refusal, true, w.views
 }
