--- a/internal/runner/crashes.go
+++ b/internal/runner/crashes.go
@@ -70,9 +70,9 @@
 // compose returns all unacknowledged crashes for a report sent now.
 func (c *crashes) compose() []link.Crash {
 	var reported []link.Crash
-	for _, u := range c.unacknowledged {
-		u.crash.FirstFailureMillis = millisSince(u.firstFailure)
-		reported = append(reported, u.crash)
+	for _, p := range c.unacknowledged {
+		p.crash.FirstFailureMillis = millisSince(p.firstFailure)
+		reported = append(reported, p.crash)
 	}
 	return reported
 }
@@ -90,5 +90,5 @@
 
 // acknowledge removes the crashes that a leader has committed, up to a number.
 func (c *crashes) acknowledge(number uint64) {
-	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(u pendingCrash) bool { return u.crash.Number <= number })
+	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(p pendingCrash) bool { return p.crash.Number <= number })
 }
--- a/internal/runner/diagnostics.go
+++ b/internal/runner/diagnostics.go
@@ -41,7 +41,7 @@
 	r.logger.Info("first answer of a worker incarnation; instance=%s age_ms=%d", id, age)
 }
 
-// logUnexpectedRuns logs the runs of a new incarnation that this agent has not started there: starts sent to a previous one.
+// logUnexpectedRuns logs the runs of a new incarnation that this agent has not started there: their starts were sent to a previous one.
 func (r *Runner) logUnexpectedRuns(view host.View) {
 	runs := make([]host.Run, 0, len(view.Running)+len(view.Ended))
 	for _, running := range view.Running {
@@ -52,7 +52,7 @@
 	}
 	r.config.Metrics.Counter("agent.found_runs").Inc(int64(len(runs)))
 	for _, run := range runs {
-		r.logger.Warn("new incarnation has a run that was started on a previous one; task=%s run=%d instance=%s",
+		r.logger.Warn("new incarnation has a run whose start was sent to a previous one; task=%s run=%d instance=%s",
 			run.Task, run.Number, view.Incarnation)
 	}
 }
--- a/internal/runner/discovery.go
+++ b/internal/runner/discovery.go
@@ -104,10 +104,10 @@
 )
 
 // reconnectDelay returns how long an agent waits before it connects to a newly elected leader, so that the leader does not spend its first second
-// on handshakes. The random number is in [0, 1); lease is the time left of the agent lease, and ends reports whether ended runs are unreported.
-func reconnectDelay(agents int, lease time.Duration, ends bool, random float64) time.Duration {
+// on handshakes. The random number is in [0, 1); lease is the time left of the agent lease, and endsUnreported whether ended runs wait to be reported.
+func reconnectDelay(agents int, lease time.Duration, endsUnreported bool, random float64) time.Duration {
 	spread := max(time.Duration(agents)*handshakeTime, minReconnectSpread)
-	if ends || lease < spread+urgentLease {
+	if endsUnreported || lease < spread+urgentLease {
 		return time.Duration(random * urgentShare * float64(spread))
 	}
 	return time.Duration(random * float64(spread))
@@ -120,6 +120,6 @@
 	if leader.Epoch <= r.epoch || r.epoch == 0 {
 		return 0
 	}
-	ends := r.worker != nil && len(r.worker.view.Ended) > 0
-	return reconnectDelay(leader.agents, r.agentLeaseEnd.Sub(r.config.Uptime.Now()), ends, r.config.Random())
+	endsUnreported := r.worker != nil && len(r.worker.view.Ended) > 0
+	return reconnectDelay(leader.agents, r.agentLeaseEnd.Sub(r.config.Uptime.Now()), endsUnreported, r.config.Random())
 }
--- a/internal/runner/discovery_test.go
+++ b/internal/runner/discovery_test.go
@@ -19,11 +19,11 @@
 	var latestUrgent, latest time.Duration
 	for i := range agents {
 		const urgentDivisor = 50
-		ends := i < agents/urgentDivisor
-		delay := reconnectDelay(agents, 5*time.Second, ends, random.Float64())
+		endsUnreported := i < agents/urgentDivisor
+		delay := reconnectDelay(agents, 5*time.Second, endsUnreported, random.Float64())
 		arrivals[delay/window]++
 		latest = max(latest, delay)
-		if ends {
+		if endsUnreported {
 			latestUrgent = max(latestUrgent, delay)
 		}
 	}
--- a/internal/runner/fakes_test.go
+++ b/internal/runner/fakes_test.go
@@ -53,15 +53,15 @@
 
 func (f *fakeWorker) Renew(ctx context.Context, id incarnation.ID, h host.Renewal) (host.View, host.Refusal, error) {
 	f.mu.Lock()
-	present, away := f.current, f.unavailable
+	current, unavailable := f.current, f.unavailable
 	f.mu.Unlock()
-	if away {
+	if unavailable {
 		return host.View{}, host.RefusedInvalid, fault.New(fault.Unavailable, "connection refused")
 	}
-	if present.IsZero() {
-		present = id
+	if current.IsZero() {
+		current = id
 	}
-	if !id.IsZero() && !present.SameWorker(id) {
+	if !id.IsZero() && !current.SameWorker(id) {
 		wait.For(ctx, f.refusalDelay)
 		return host.View{}, host.RefusedInvalid, fault.New(fault.Stale, "another instance answers")
 	}
@@ -75,18 +75,18 @@
 		f.refusals = f.refusals[1:]
 		return host.View{}, refusal, nil
 	}
-	if h.Fence < f.highestFences[present] {
+	if h.Fence < f.highestFences[current] {
 		f.mu.Unlock()
 		return host.View{}, host.RefusedFence, nil
 	}
-	f.highestFences[present] = h.Fence
-	f.acknowledgedEnds[present] = max(f.acknowledgedEnds[present], h.Acknowledged)
+	f.highestFences[current] = h.Fence
+	f.acknowledgedEnds[current] = max(f.acknowledgedEnds[current], h.Acknowledged)
 	f.mu.Unlock()
 	wait.For(ctx, h.Wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	view := f.view
-	view.Incarnation = present
+	view.Incarnation = current
 	return view, host.Accepted, nil
 }
 
--- a/internal/runner/fences.go
+++ b/internal/runner/fences.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// contactInterval lies between two calls to a worker that does not answer while starts may still be carried out there.
+	// contactInterval is the time between two calls to a worker that does not answer while it may still carry out late starts.
 	contactInterval = 10 * time.Millisecond
-	// contactTimeout bounds a call that only shows the fence; a worker on the same VM answers at once.
+	// contactTimeout bounds a call that only sends the fence; a worker on the same VM answers at once.
 	contactTimeout = 100 * time.Millisecond
 )
 
-// fences are the fencing tokens under which the agent calls its worker, which rejects calls under a lower one than it has received.
+// fences are the numbers (fencing tokens) under which the agent calls its worker, which rejects calls under a lower one than it has received.
 //
 // A call without an answer may be carried out by a later incarnation. The fence is raised as soon as the current incarnation may have ended, so that
 // one call to the next makes it reject all earlier calls, even those that no process remembers.
 type fences struct {
-	// epoch is that of the leader that granted the tokens up to last, first the lowest token it granted to this process; exhausted requests a new grant.
+	// epoch is that of the leader that granted the fences up to last, first the lowest that it granted to this process; exhausted requests a new grant.
 	epoch                uint64
 	first, current, last uint64
 	exhausted            bool
-	// highestUsed is the highest token of a call that a later incarnation must not carry out: an order or an acknowledgement.
+	// highestUsed is the highest fence of a call that a later incarnation must not carry out: an order or an acknowledgement.
 	highestUsed uint64
-	// confirmed reports whether the worker has answered under the current token since the last failed call, unconfirmedSince when that ceased to hold.
+	// confirmed reports whether the worker has answered under the current fence since the last failed call, unconfirmedSince when that ceased to hold.
 	confirmed        bool
 	unconfirmedSince time.Time
 }
 
-// grant stores the tokens of a leader unless it has granted some before; first is 0 from a leader of the previous release, which grants only its epoch.
+// grant stores the fences of a leader unless it has granted some before; first is 0 from a leader of the previous release, which grants only its epoch.
 func (f *fences) grant(epoch, first, last uint64) bool {
 	if epoch < f.epoch || epoch == f.epoch && !f.exhausted {
 		return false
@@ -48,11 +48,11 @@
 	return true
 }
 
-// covers reports whether an incarnation that answered under a token rejects all calls of earlier leaders and agents. One that crashed before the fence
-// was raised has answered under a lower token than the current one, so first is the bound.
+// covers reports whether an incarnation that answered under a fence rejects all calls of earlier leaders and agents. One that crashed before the fence
+// was raised has answered under a lower fence than the current one, so first is the bound.
 func (f *fences) covers(number, epoch uint64) bool { return f.epoch == epoch && number >= f.first }
 
-// raise moves to the next token if the current one was used, and reports whether the tokens are exhausted.
+// raise moves to the next fence if the current one was used, and reports whether the fences are exhausted.
 func (f *fences) raise() bool {
 	if f.confirmed {
 		f.confirmed, f.unconfirmedSince = false, time.Now()
@@ -67,16 +67,16 @@
 	return false
 }
 
-// use returns the current token for a call that a later incarnation must not carry out.
+// use returns the current fence for a call that a later incarnation must not carry out.
 func (f *fences) use() uint64 {
 	f.highestUsed = f.current
 	return f.current
 }
 
-// recordAnswer records that the worker answered a call under a token.
+// recordAnswer records that the worker answered a call under a fence.
 func (f *fences) recordAnswer(number uint64) { f.confirmed = f.confirmed || number >= f.current }
 
-// raiseFence raises the fence above all earlier calls, since the worker may have restarted. An agent without tokens left reconnects for more.
+// raiseFence raises the fence above all earlier calls, since the worker may have restarted. An agent without fences left reconnects for more.
 func (r *Runner) raiseFence() {
 	if exhausted := r.fences.raise(); exhausted && !r.fences.exhausted && r.fences.current < r.epoch && r.session != nil {
 		r.logger.Info("fences exhausted, reconnecting to the leader; fence=%d", r.fences.current)
@@ -85,7 +85,7 @@
 	}
 }
 
-// adoptEpochAsFence uses the epoch as the fence if the worker rejects the current token: it was called by an agent of the previous release, which did so.
+// adoptEpochAsFence uses the epoch as the fence if the worker rejects the current one: it was called by an agent of the previous release, which did so.
 func (r *Runner) adoptEpochAsFence(fence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/runner/fences_test.go
+++ b/internal/runner/fences_test.go
@@ -17,14 +17,14 @@
 func TestFencesAreGrantedOncePerEpoch(t *testing.T) {
 	var f fences
 	assert.Assert(t, f.grant(10, 3, 5))
-	assert.Assert(t, !f.grant(10, 6, 8), "orders in progress carry the tokens of the first connection")
+	assert.Assert(t, !f.grant(10, 6, 8), "orders in progress carry the fences of the first connection")
 	assert.Equal(t, f.current, uint64(3))
 	assert.Assert(t, f.grant(20, 0, 0))
 	assert.Equal(t, f.current, uint64(20))
 	assert.Equal(t, f.last, uint64(20))
 }
 
-// TestFenceIsRaisedAboveAllCalls checks that the fence is raised only if it was used, so that frequent restarts do not exhaust the tokens.
+// TestFenceIsRaisedAboveAllCalls checks that the fence is raised only if it was used, so that frequent restarts do not exhaust the fences.
 func TestFenceIsRaisedAboveAllCalls(t *testing.T) {
 	var f fences
 	f.grant(10, 3, 4)
@@ -36,9 +36,9 @@
 	assert.Assert(t, !f.confirmed)
 	assert.Equal(t, f.current, uint64(4))
 	f.recordAnswer(3)
-	assert.Assert(t, !f.confirmed, "an answer under an earlier token")
+	assert.Assert(t, !f.confirmed, "an answer under an earlier fence")
 	f.use()
-	assert.Assert(t, f.raise(), "exhausted")
+	assert.Assert(t, f.raise(), "the fences are exhausted")
 }
 
 // TestFenceIsSentBeforeTheWorkerReports checks that a call to whichever incarnation answers sends the fence.
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// runDeadline returns the time on the worker's clock until which its runs may continue, and records it on this clock. A worker that does not answer
+// runDeadline returns the time on the worker's clock until which its runs may continue, and stores it on this clock as leaseEnd. A worker that does not answer
 // gets no extension, so that its lease expires.
 func (r *Runner) runDeadline(w *workerState) host.Clock {
 	if w.silent {
@@ -178,7 +178,7 @@
 	return w.clock + host.Clock(minClockRate*float64(end.Sub(w.clockReadAt)))
 }
 
-// maxDisconnectDelay is the longest time in which a renewal fails if its connection breaks; one to an unresponsive worker fails later.
+// maxDisconnectDelay is the longest time in which a renewal fails if its connection breaks; one to a silent worker fails later.
 const maxDisconnectDelay = renewalWait + 100*time.Millisecond
 
 // recordFailedRenewal records a renewal that failed. If its connection broke, that tells the time of a crash to the millisecond, while the last view
--- a/internal/runner/possible_test.go
+++ b/internal/runner/possible_test.go
@@ -175,11 +175,11 @@
 // TestUnacknowledgedCrashesAreBounded checks that the latest crashes are kept.
 func TestUnacknowledgedCrashesAreBounded(t *testing.T) {
 	var c crashes
-	forgotten := 0
+	discarded := 0
 	for range 3 * maxCrashes {
-		forgotten += len(c.add(link.Crash{}, time.Time{}))
+		discarded += len(c.add(link.Crash{}, time.Time{}))
 	}
-	assert.Equal(t, forgotten, 2*maxCrashes)
+	assert.Equal(t, discarded, 2*maxCrashes)
 	assert.Equal(t, len(c.unacknowledged), maxCrashes)
 	assert.Equal(t, c.unacknowledged[maxCrashes-1].crash.Number, uint64(3*maxCrashes))
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -143,7 +143,7 @@
 		return true
 	case r.worker.report.Service != report.Service && r.worker.unknownService:
 		// An unknown sender may have reported under this incarnation before the worker itself did.
-		r.logger.Warn("service of the first report replaced by that of the worker;  instance=%s service=%s reported=%s",
+		r.logger.Warn("service of the first report replaced by that of the worker; instance=%s service=%s reported=%s",
 			report.Incarnation, report.Service, r.worker.report.Service)
 		r.worker.report, r.worker.unknownService = report, false
 		wait.Notify(r.reportDue)
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -170,8 +170,8 @@
 		r.recordFailedRenewal(testID, time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
 		report, _ := r.compose()
 		assert.Assert(t, report.Silent && !report.Lapsed)
-		_, hold, _ := r.nextRenewal()
-		assert.Equal(t, hold.Until, host.Clock(0))
+		_, renewal, _ := r.nextRenewal()
+		assert.Equal(t, renewal.Until, host.Clock(0))
 		time.Sleep(runLease)
 		report, _ = r.compose()
 		assert.Assert(t, report.Lapsed)
@@ -207,8 +207,8 @@
 	w.applyAnswer(report, link.ReportAnswer{Epoch: 3})
 	assert.Equal(t, w.acknowledgedEnds, uint64(0))
 	w.applyAnswer(report, link.ReportAnswer{Epoch: 3, AcknowledgedEnds: 7})
-	_, hold, _ := r.nextRenewal()
-	assert.Equal(t, hold.Acknowledged, uint64(7))
+	_, renewal, _ := r.nextRenewal()
+	assert.Equal(t, renewal.Acknowledged, uint64(7))
 }
 
 // Runs of the tests of paces: a serving task with a target of 10 ms, and a best-effort task.
--- a/internal/runner/worker.go
+++ b/internal/runner/worker.go
@@ -29,7 +29,7 @@
 	leaseEnd   time.Time
 	// confirmedAt is when this incarnation answered last, zero once a call has failed since.
 	confirmedAt boottime.Instant
-	// firstFailure is when the calls to the worker began to fail, zero while they succeed.
+	// firstFailure is when the first call failed because its connection broke, zero while calls succeed.
 	firstFailure time.Time
 	// view is the latest view, views the number of views received, acknowledgedEnds the sequence up to which the leader has committed ended runs.
 	view             host.View
