--- a/internal/runner/capacity.go
+++ b/internal/runner/capacity.go
@@ -6,32 +6,32 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// roomOf returns what a run takes of its worker's room.
-func roomOf(p link.Profile) job.Size {
+// reservationOf returns the part of a worker's capacity that a run reserves.
+func reservationOf(p link.Profile) job.Size {
 	step := job.Step{Size: job.Size{CPU: p.CPU, Memory: p.Memory, GPU: p.GPU}, BestEffort: p.BestEffort}
 	return step.Reservation()
 }
 
-// taken returns the room of all that the worker may have: what runs, what is being stopped, and what is on its way there.
-func (w *workerState) taken() job.Size {
-	var taken job.Size
-	for run := range w.begun {
-		taken = taken.Plus(roomOf(w.profiles[run]))
+// reserved returns the total reservation of all runs that the worker may have: running, stopping, or with a start in progress.
+func (w *workerState) reserved() job.Size {
+	var total job.Size
+	for run := range w.possibleRuns {
+		total = total.Plus(reservationOf(w.profiles[run]))
 	}
 	for run, o := range w.orders {
-		if w.begun[run] == nil && o.start != nil && !o.final {
-			taken = taken.Plus(roomOf(o.start.Profile))
+		if w.possibleRuns[run] == nil && o.start != nil && !o.final {
+			total = total.Plus(reservationOf(o.start.Profile))
 		}
 	}
-	return taken
+	return total
 }
 
-// fits reports whether a start leaves the worker within the room that it says it has now. The lead plans by what it was told
-// last; meanwhile the room may have shrunk, and a worker that does not guard it would be brought over it.
+// fits reports whether a start stays within the worker's capacity as last reported to the agent. The leader may have planned by a capacity that has
+// shrunk since, and a worker without a check of its own would exceed it.
 func (w *workerState) fits(run host.Run, start *link.Start) bool {
-	if w.begun[run] != nil {
+	if w.possibleRuns[run] != nil {
 		return true
 	}
-	asked := roomOf(start.Profile)
-	return asked == job.Size{} || w.taken().Plus(asked).Fits(w.report.Capacity)
+	requested := reservationOf(start.Profile)
+	return requested == job.Size{} || w.reserved().Plus(requested).Fits(w.report.Capacity)
 }
--- a/internal/runner/fences.go
+++ b/internal/runner/fences.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// contactPause lies between two calls to a worker that does not answer while starts may still be carried out there.
-	contactPause = 10 * time.Millisecond
-	// contactPatience bounds a call that only shows the fence; a worker on the same VM answers at once.
-	contactPatience = 100 * time.Millisecond
+	// contactInterval is the time between two calls to a worker that does not answer while it may still carry out late starts.
+	contactInterval = 10 * time.Millisecond
+	// contactTimeout bounds a call that only sends the fence; a worker on the same VM answers at once.
+	contactTimeout = 100 * time.Millisecond
 )
 
-// fences are the numbers under which the agent calls its worker, which does nothing under a lower one than it has seen.
+// fences are the numbers (fencing tokens) under which the agent calls its worker, which rejects calls under a lower one than it has received.
 //
-// A call without an answer may be carried out by a later incarnation. The fence is raised with the first doubt whether the present one still lives,
-// so that one call to the next one makes that refuse all that was sent before, also what no process remembers.
+// A call without an answer may be carried out by a later incarnation. The fence is raised as soon as the current incarnation may have ended, so that
+// one call to the next makes it reject all earlier calls, even those that no process remembers.
 type fences struct {
-	// epoch is that of the leader that granted the numbers up to last, first the lowest of them that this process has had; usedUp asks for more.
+	// epoch is that of the leader that granted the fences up to last, first the lowest that it granted to this process; exhausted requests a new grant.
 	epoch                uint64
-	first, present, last uint64
-	usedUp               bool
-	// used is the highest number of a call that a later incarnation must not carry out: an order, or an acknowledgement.
-	used uint64
-	// reached says that the worker has answered under the present number since a call failed last, missing since when it has not.
-	reached bool
-	missing time.Time
+	first, current, last uint64
+	exhausted            bool
+	// highestUsed is the highest fence of a call that a later incarnation must not carry out: an order or an acknowledgement.
+	highestUsed uint64
+	// confirmed reports whether the worker has answered under the current fence since the last failed call, unconfirmedSince when that ceased to hold.
+	confirmed        bool
+	unconfirmedSince time.Time
 }
 
-// grant takes the numbers of a leader, unless it has granted some before; 0 stands for a leader of the release before, which grants only its epoch.
+// grant stores the fences of a leader unless it has granted some before; first is 0 from a leader of the previous release, which grants only its epoch.
 func (f *fences) grant(epoch, first, last uint64) bool {
-	if epoch < f.epoch || epoch == f.epoch && !f.usedUp {
+	if epoch < f.epoch || epoch == f.epoch && !f.exhausted {
 		return false
 	}
 	if first == 0 {
@@ -43,88 +43,88 @@
 	if epoch > f.epoch {
 		f.first = first
 	}
-	f.epoch, f.present, f.last, f.usedUp = epoch, first, last, false
-	f.reached, f.missing = false, time.Now()
+	f.epoch, f.current, f.last, f.exhausted = epoch, first, last, false
+	f.confirmed, f.unconfirmedSince = false, time.Now()
 	return true
 }
 
-// covers reports whether an incarnation that has answered under a number refuses all that earlier leaders and agents sent. One that crashed before the
-// fence was raised has answered under a lower one than the present.
+// covers reports whether an incarnation that answered under a fence rejects all calls of earlier leaders and agents. One that crashed before the fence
+// was raised has answered under a lower fence than the current one, so first is the bound.
 func (f *fences) covers(number, epoch uint64) bool { return f.epoch == epoch && number >= f.first }
 
-// doubt records that the worker may have another incarnation, and reports whether the numbers are used up.
-func (f *fences) doubt() bool {
-	if f.reached {
-		f.reached, f.missing = false, time.Now()
+// raise moves to the next fence if the current one was used, and reports whether the fences are exhausted.
+func (f *fences) raise() bool {
+	if f.confirmed {
+		f.confirmed, f.unconfirmedSince = false, time.Now()
 	}
-	if f.used < f.present {
+	if f.highestUsed < f.current {
 		return false
 	}
-	if f.present == f.last {
+	if f.current == f.last {
 		return true
 	}
-	f.present++
+	f.current++
 	return false
 }
 
-// use returns the present number, for a call that a later incarnation must not carry out.
+// use returns the current fence for a call that a later incarnation must not carry out.
 func (f *fences) use() uint64 {
-	f.used = f.present
-	return f.present
+	f.highestUsed = f.current
+	return f.current
 }
 
-// answered records a call under a number that the worker answered.
-func (f *fences) answered(number uint64) { f.reached = f.reached || number >= f.present }
+// recordAnswer records that the worker answered a call under a fence.
+func (f *fences) recordAnswer(number uint64) { f.confirmed = f.confirmed || number >= f.current }
 
-// doubtIncarnation raises the fence above all that was sent. An agent that has used its numbers up connects anew for others.
-func (r *Runner) doubtIncarnation() {
-	if usedUp := r.fences.doubt(); usedUp && !r.fences.usedUp && r.fences.present < r.epoch && r.session != nil {
-		r.logger.Info("fences are used up, the agent connects anew; fence=%d", r.fences.present)
-		r.fences.usedUp = true
+// raiseFence raises the fence above all earlier calls, since the worker may have restarted. An agent without fences left reconnects for more.
+func (r *Runner) raiseFence() {
+	if exhausted := r.fences.raise(); exhausted && !r.fences.exhausted && r.fences.current < r.epoch && r.session != nil {
+		r.logger.Info("fences exhausted, reconnecting to the leader; fence=%d", r.fences.current)
+		r.fences.exhausted = true
 		r.session.Close()
 	}
 }
 
-// outranked takes the epoch as the fence where the worker refuses the present number: an agent of the release before, which did so, was replaced.
-func (r *Runner) outranked(fence uint64) {
+// adoptEpochAsFence uses the epoch as the fence if the worker rejects the current one: it was called by an agent of the previous release, which did so.
+func (r *Runner) adoptEpochAsFence(fence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if fence == r.fences.present && fence < r.epoch {
-		r.logger.Warn("the worker has seen a higher fence; fence=%d epoch=%d", fence, r.epoch)
-		r.fences.present, r.fences.last = r.epoch, r.epoch
+	if fence == r.fences.current && fence < r.epoch {
+		r.logger.Warn("worker has received a higher fence; fence=%d epoch=%d", fence, r.epoch)
+		r.fences.current, r.fences.last = r.epoch, r.epoch
 	}
 }
 
-// contact shows the fence to whichever incarnation answers, also under an id that the agent does not know yet.
-func (r *Runner) contact(ctx context.Context) {
+// contactWorker sends the fence to whichever incarnation answers, even under an id that the agent does not know yet.
+func (r *Runner) contactWorker(ctx context.Context) {
 	r.mu.Lock()
-	fence, due := r.fences.present, !r.fences.reached && r.fences.present > 0
+	fence, due := r.fences.current, !r.fences.confirmed && r.fences.current > 0
 	r.mu.Unlock()
 	if !due {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, contactPatience)
+	bounded, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
 	_, refusal, err := r.config.Worker.Renew(bounded, incarnation.ID{}, host.Renewal{Fence: fence})
 	if err != nil || refusal != host.Accepted {
-		r.logger.Debug("fence not shown; fence=%d refusal=%s reason=%v", fence, refusal, err)
+		r.logger.Debug("fence not delivered; fence=%d refusal=%s reason=%v", fence, refusal, err)
 		return
 	}
-	r.logger.Debug("fence shown to the worker; fence=%d", fence)
+	r.logger.Debug("fence delivered to the worker; fence=%d", fence)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fences.answered(fence)
+	r.fences.recordAnswer(fence)
 }
 
-// awaitContact waits a while before the next call to a worker that did not answer.
-func (r *Runner) awaitContact(ctx context.Context) { wait.For(ctx, r.contactWait()) }
+// awaitRetry waits before the next call to a worker that did not answer.
+func (r *Runner) awaitRetry(ctx context.Context) { wait.For(ctx, r.retryDelay()) }
 
-// contactWait is short while earlier calls may still be carried out by an incarnation that has not seen the fence.
-func (r *Runner) contactWait() time.Duration {
+// retryDelay is short while an incarnation that has not received the fence may still carry out earlier calls.
+func (r *Runner) retryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.fences.reached && time.Since(r.fences.missing) < host.MaxCallDelay {
-		return contactPause
+	if !r.fences.confirmed && time.Since(r.fences.unconfirmedSince) < host.MaxCallDelay {
+		return contactInterval
 	}
-	return holdPause
+	return renewalRetryDelay
 }
--- a/internal/runner/paces.go
+++ b/internal/runner/paces.go
@@ -14,128 +14,128 @@
 )
 
 const (
-	// adjustEvery is the shortest time between two changes of the pace, whose effect the next figures show.
-	adjustEvery = 400 * time.Millisecond
-	// longerOver is how long a serving task may be over its target before all that fills must give way, a second after what is
-	// known to slow it must.
-	longerOver = pacing.ViolationGrace + time.Second
-	// aheadOf is how far ahead a pace looks: until the next figures show its effect.
-	aheadOf = 500 * time.Millisecond
-	// loadFor is how long what the lead told of a load is used: some reports that went unanswered.
-	loadFor = 2 * time.Second
-	// sureOf is the headroom below which a figure tells nothing of the task's own load.
-	sureOf = 0.3
+	// paceInterval is the minimum time between two changes of the pace, so that the next measurements show the effect of each.
+	paceInterval = 400 * time.Millisecond
+	// prolongedViolation is how long a serving task may violate its target before all best-effort tasks are throttled to the minimum, a second after
+	// those known to slow it down.
+	prolongedViolation = pacing.ViolationGrace + time.Second
+	// paceHorizon is how far ahead paces are planned: until the next measurements show their effect.
+	paceHorizon = 500 * time.Millisecond
+	// maxLoadAge is how long a load reported by the leader is used: for some reports without an answer.
+	maxLoadAge = 2 * time.Second
+	// minTrackedHeadroom is the headroom below which a measurement says nothing about the task's own load.
+	minTrackedHeadroom = 0.3
 )
 
-// adjust sets the pace of what fills, by image, from what the tasks that serve show.
-func (r *Runner) adjust(ctx context.Context, w *workerState) {
-	if now := time.Now(); now.Sub(w.adjusted) >= adjustEvery && w.report.Capacity.CPU > 0 {
-		w.adjusted = now
-		filling, use := w.filling()
-		felt := pressure.Mean(w.used, use)
-		w.used = use
-		w.wanted = pacing.Choose(w.served(now, felt, filling), filling, w.starved)
+// adjustPaces sets the pace of best-effort tasks, by image, from the measurements of the serving tasks.
+func (r *Runner) adjustPaces(ctx context.Context, w *workerState) {
+	if now := time.Now(); now.Sub(w.pacesSetAt) >= paceInterval && w.report.Capacity.CPU > 0 {
+		w.pacesSetAt = now
+		bestEffort, usage := w.bestEffort()
+		meanUsage := pressure.Mean(w.usedShares, usage)
+		w.usedShares = usage
+		w.targetPaces = pacing.Choose(w.servingTasks(now, meanUsage, bestEffort), bestEffort, w.backlog)
 	}
 	for _, running := range w.view.Running {
 		p, known := w.profiles[running.Run]
-		pace, wanted := w.wantedPace(p.Image)
-		if !known || !p.BestEffort || !wanted || w.paceOf(running.Run) == pace {
+		pace, chosen := w.targetPace(p.Image)
+		if !known || !p.BestEffort || !chosen || w.paceOf(running.Run) == pace {
 			continue
 		}
 		w.paces[running.Run] = pace
 		fence := r.fences.use()
-		r.work.Go(func() { r.setPace(ctx, w.id, running.Run, pace, fence) })
+		r.orderTasks.Go(func() { r.setPace(ctx, w.id, running.Run, pace, fence) })
 	}
 }
 
-// wantedPace returns the pace of an image in percent, false where none was reckoned yet. What comes while all that fills
-// stands has to stand too.
-func (w *workerState) wantedPace(image string) (int, bool) {
-	if w.overFor(longerOver) {
+// targetPace returns the pace of an image in percent, false if none was chosen yet. During a prolonged violation it is the minimum, also for tasks
+// that have just started.
+func (w *workerState) targetPace(image string) (int, bool) {
+	if w.violatesTargetFor(prolongedViolation) {
 		return pacing.Min, true
 	}
-	pace, wanted := w.wanted[image]
-	return pace, wanted
+	pace, known := w.targetPaces[image]
+	return pace, known
 }
 
-// overFor reports whether some serving task has been over its target for a time.
-func (w *workerState) overFor(least time.Duration) bool {
-	for _, since := range w.over {
-		if w.read.Sub(since) > least {
+// violatesTargetFor reports whether some serving task has violated its target for longer than a duration.
+func (w *workerState) violatesTargetFor(minimum time.Duration) bool {
+	for _, since := range w.violations {
+		if w.clockReadAt.Sub(since) > minimum {
 			return true
 		}
 	}
 	return false
 }
 
-// filling returns the images of what fills the worker, and the share of the worker that each uses.
-func (w *workerState) filling() ([]pacing.BestEffort, map[string]float64) {
-	whole, use := make(map[string]float64), make(map[string]float64)
+// bestEffort returns the images of the best-effort tasks, and the share of the worker that each uses.
+func (w *workerState) bestEffort() ([]pacing.BestEffort, map[string]float64) {
+	fullShares, usage := make(map[string]float64), make(map[string]float64)
 	for _, running := range w.view.Running {
 		p := w.profiles[running.Run]
 		if !p.BestEffort {
 			continue
 		}
-		use[p.Image] += w.share(running.Measurement)
-		whole[p.Image] += w.share(p.CPU)
+		usage[p.Image] += w.share(running.Measurement)
+		fullShares[p.Image] += w.share(p.CPU)
 	}
-	filling := make([]pacing.BestEffort, 0, len(whole))
-	for _, image := range slices.Sorted(maps.Keys(whole)) {
-		filling = append(filling, pacing.BestEffort{Image: image, FullShare: whole[image]})
+	bestEffort := make([]pacing.BestEffort, 0, len(fullShares))
+	for _, image := range slices.Sorted(maps.Keys(fullShares)) {
+		bestEffort = append(bestEffort, pacing.BestEffort{Image: image, FullShare: fullShares[image]})
 	}
-	return filling, use
+	return bestEffort, usage
 }
 
-// share returns thousandths of a core as a share of the worker.
+// share converts thousandths of a core to a share of the worker.
 func (w *workerState) share(cpu int) float64 { return float64(cpu) / float64(w.report.Capacity.CPU) }
 
-// served returns what the tasks that serve will likely show, after what they show beside what was used.
-func (w *workerState) served(now time.Time, felt map[string]float64, filling []pacing.BestEffort) []pacing.ServingTask {
-	var served []pacing.ServingTask
+// servingTasks returns the predicted headrooms of the serving tasks, from their measurements beside the mean usage of best-effort tasks.
+func (w *workerState) servingTasks(now time.Time, meanUsage map[string]float64, bestEffort []pacing.BestEffort) []pacing.ServingTask {
+	var tasks []pacing.ServingTask
 	for _, running := range w.view.Running {
 		p := w.profiles[running.Run]
 		if p.TargetMillis == 0 || running.Measurement == 0 {
 			continue
 		}
-		over := w.noteOver(running)
-		s := pacing.ServingTask{Weights: make(map[string]float64), SustainedViolation: over > pacing.ViolationGrace, ProlongedViolation: over > longerOver}
-		s.Headroom, s.Deviation = w.ahead(now, running, p, felt)
-		for _, f := range filling {
-			s.Weights[f.Image] = w.weight(p.Image, f.Image)
+		violatedFor := w.recordViolation(running)
+		s := pacing.ServingTask{Weights: make(map[string]float64), SustainedViolation: violatedFor > pacing.ViolationGrace, ProlongedViolation: violatedFor > prolongedViolation}
+		s.Headroom, s.Deviation = w.predictHeadroom(now, running, p, meanUsage)
+		for _, f := range bestEffort {
+			s.Weights[f.Image] = w.interferenceWeight(p.Image, f.Image)
 		}
-		served = append(served, s)
+		tasks = append(tasks, s)
 	}
-	return served
+	return tasks
 }
 
-// ahead returns the headroom that a serving task likely has soon without neighbors, and its standard deviation: from the load
-// that the lead tells, where it did so of late, and else from the task's own track.
-func (w *workerState) ahead(now time.Time, running host.Running, p link.Profile, felt map[string]float64) (float64, float64) {
-	soon := now.Add(aheadOf)
-	headroom, deviation := w.follow(now, running, p, felt).Predict(soon)
+// predictHeadroom returns the headroom that a serving task will soon have without neighbors, and its standard deviation: from the load that the
+// leader reported, if recent, otherwise from the task's own tracker.
+func (w *workerState) predictHeadroom(now time.Time, running host.Running, p link.Profile, meanUsage map[string]float64) (float64, float64) {
+	horizon := now.Add(paceHorizon)
+	headroom, deviation := w.trackHeadroom(now, running, p, meanUsage).Predict(horizon)
 	load, known := w.loads[running.Run.Task.StepName()]
-	if !known || now.Sub(load.Time) > loadFor {
+	if !known || now.Sub(load.Time) > maxLoadAge {
 		return headroom, deviation
 	}
-	own := entryOf(w.owns, running.Run)
-	shown := pressure.Headroom(float64(running.Measurement), float64(p.TargetMillis))
-	own.Observe(now, shown-max(load.Predict(now, w.swing)-w.pressed(p.Image, felt), 0))
-	return load.Predict(soon, w.swing) + own.Predict(soon), load.Deviation
+	residual := entryOf(w.residuals, running.Run)
+	observed := pressure.Headroom(float64(running.Measurement), float64(p.TargetMillis))
+	residual.Observe(now, observed-max(load.Predict(now, w.loadFrequency)-w.interferenceOf(p.Image, meanUsage), 0))
+	return load.Predict(horizon, w.loadFrequency) + residual.Predict(horizon), load.Deviation
 }
 
-// follow takes the headroom that a serving task shows into its track, as it would be without what was used beside it.
-func (w *workerState) follow(now time.Time, running host.Running, p link.Profile, felt map[string]float64) *pressure.Tracker {
-	track := entryOf(w.tracks, running.Run)
-	track.SetFrequency(w.swing)
+// trackHeadroom updates the tracker of a serving task with its headroom, corrected for the interference of best-effort tasks.
+func (w *workerState) trackHeadroom(now time.Time, running host.Running, p link.Profile, meanUsage map[string]float64) *pressure.Tracker {
+	tracker := entryOf(w.trackers, running.Run)
+	tracker.SetFrequency(w.loadFrequency)
 	target := float64(p.TargetMillis)
 	headroom := pressure.Headroom(float64(running.Measurement), target)
-	if headroom >= sureOf || !track.HasObservation() {
-		track.Observe(now, headroom+w.pressed(p.Image, felt), pressure.MeasurementVariance(headroom, target))
+	if headroom >= minTrackedHeadroom || !tracker.HasObservation() {
+		tracker.Observe(now, headroom+w.interferenceOf(p.Image, meanUsage), pressure.MeasurementVariance(headroom, target))
 	}
-	return track
+	return tracker
 }
 
-// entryOf returns what is kept of a run, its zero value where nothing was yet.
+// entryOf returns the entry of a run, which it creates with the zero value if there is none.
 func entryOf[T any](entries map[host.Run]*T, run host.Run) *T {
 	entry := entries[run]
 	if entry == nil {
@@ -145,37 +145,37 @@
 	return entry
 }
 
-// pressed returns by how much what was used lowers the headroom of a serving image.
-func (w *workerState) pressed(serving string, use map[string]float64) float64 {
+// interferenceOf returns by how much the usage of best-effort images lowers the headroom of a serving image.
+func (w *workerState) interferenceOf(serving string, usage map[string]float64) float64 {
 	sum := 0.0
-	for image, share := range use {
-		sum += w.weight(serving, image) * share
+	for image, share := range usage {
+		sum += w.interferenceWeight(serving, image) * share
 	}
 	return sum
 }
 
-// noteOver returns for how long a serving task has been over its target. One that is found over, as an agent that was
-// started again finds it, is taken to have been over for long: nobody knows how long it was before.
-func (w *workerState) noteOver(running host.Running) time.Duration {
+// recordViolation returns for how long a serving task has violated its target. If it does so in the first view, as after a restart of the agent, the
+// violation counts as sustained, since it may have lasted for any time before.
+func (w *workerState) recordViolation(running host.Running) time.Duration {
 	if int64(running.Measurement) <= w.profiles[running.Run].TargetMillis {
-		delete(w.over, running.Run)
+		delete(w.violations, running.Run)
 		return 0
 	}
-	since, known := w.over[running.Run]
+	since, known := w.violations[running.Run]
 	if !known {
-		since = w.read
+		since = w.clockReadAt
 		if w.views == 1 {
-			since = w.read.Add(-pacing.ViolationGrace)
+			since = w.clockReadAt.Add(-pacing.ViolationGrace)
 		}
-		w.over[running.Run] = since
+		w.violations[running.Run] = since
 	}
-	return w.read.Sub(since)
+	return w.clockReadAt.Sub(since)
 }
 
-// weight returns by how much an image lowers the headroom of a serving one, as the lead tells.
-func (w *workerState) weight(serving, filling string) float64 {
-	if told, known := w.presses[filling][serving]; known {
-		return told
+// interferenceWeight returns by how much an image lowers the headroom of a serving one, as reported by the leader, or the prior.
+func (w *workerState) interferenceWeight(serving, bestEffort string) float64 {
+	if weight, known := w.interference[bestEffort][serving]; known {
+		return weight
 	}
 	return pressure.PriorWeight
 }
@@ -188,7 +188,7 @@
 	return pacing.Full
 }
 
-// setPace sends a pace to the worker; one that is not set is reckoned and sent again.
+// setPace sends a pace to the worker; if that fails the pace is chosen and sent again.
 func (r *Runner) setPace(ctx context.Context, id incarnation.ID, run host.Run, pace int, fence uint64) {
 	refusal, err := r.config.Worker.Pace(ctx, id, run, pace, fence)
 	if err == nil && refusal == host.Accepted {
--- a/internal/runner/suspended_test.go
+++ b/internal/runner/suspended_test.go
@@ -13,7 +13,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/host"
 )
 
-// suspend lets the VM of an agent have been suspended for a time.
+// suspend advances the uptime of an agent as if its VM had been suspended.
 func suspend(t *testing.T, r *Runner, d time.Duration) {
 	t.Helper()
 	clock, ok := r.config.Uptime.(*boottimetest.Clock)
@@ -21,46 +21,46 @@
 	clock.Suspend(d)
 }
 
-// TestSuspendedAgentHoldsNoLongerThanPermitted: a lead gives runs up once a permission of 5 s is over, and places them
-// elsewhere. By the steady clock an agent that wakes would hold its worker for as long again as it was suspended.
-func TestSuspendedAgentHoldsNoLongerThanPermitted(t *testing.T) {
+// TestResumedAgentDoesNotRenewBeyondItsLease: a leader gives runs up once an agent lease of 5 s has expired, and places them elsewhere. By the steady
+// clock a resumed agent would extend its worker's runs by as long as it was suspended.
+func TestResumedAgentDoesNotRenewBeyondItsLease(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newTest(&fakeWorker{start: accept})
+				r := newTest(&fakeWorker{answerStart: accept})
 				suspend(t, r, d)
-				// The worker answers the agent that woke, so that its clock is known as of now.
-				r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
-				left := min(holdTime, 5*time.Second-d)
+				// The worker answers the resumed agent, so that its clock is known.
+				r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
+				remaining := min(runLease, 5*time.Second-d)
 				want := host.Clock(0)
-				if left > 0 {
-					want = host.Clock(time.Minute) + host.Clock(clockRate*float64(left))
+				if remaining > 0 {
+					want = host.Clock(time.Minute) + host.Clock(minClockRate*float64(remaining))
 				}
-				assert.Equal(t, r.until(r.worker), want)
+				assert.Equal(t, r.runDeadline(r.worker), want)
 			})
 		})
 	}
 }
 
-// TestClockReadBeforeASuspensionIsNotTakenAsNewer: the worker may have stood still with its agent.
-func TestClockReadBeforeASuspensionIsNotTakenAsNewer(t *testing.T) {
+// TestClockReadBeforeSuspensionIsNotAdvanced by the suspension, in which the worker's clock may have stopped as well.
+func TestClockReadBeforeSuspensionIsNotAdvanced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTest(&fakeWorker{start: accept})
-		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
+		r := newTest(&fakeWorker{answerStart: accept})
+		r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: host.Clock(time.Minute)})
 		suspend(t, r, 2*time.Second)
-		assert.Equal(t, r.until(r.worker), host.Clock(time.Minute)+host.Clock(clockRate*float64(3*time.Second)))
+		assert.Equal(t, r.runDeadline(r.worker), host.Clock(time.Minute)+host.Clock(minClockRate*float64(3*time.Second)))
 	})
 }
 
-// TestAgentThatWokeStartsNothingByOldWord: neither after its permission, nor after what it was told of its hall is stale.
-func TestAgentThatWokeStartsNothingByOldWord(t *testing.T) {
+// TestResumedAgentStartsNothingOnStaleState: neither after its lease has expired, nor with a stale hall state.
+func TestResumedAgentStartsNothingOnStaleState(t *testing.T) {
 	for _, d := range []time.Duration{hall.StaleAfter(testClosedWithin) + time.Millisecond, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worker := &fakeWorker{start: accept}
+				worker := &fakeWorker{answerStart: accept}
 				r := newTest(worker)
 				suspend(t, r, d)
-				_, err := r.takeOrders(t.Context(), nil, startOrders())
+				_, err := r.handleOrders(t.Context(), nil, startOrders())
 				assert.NilError(t, err)
 				synctest.Wait()
 				assert.Equal(t, len(worker.started()), 0)
@@ -69,20 +69,20 @@
 	}
 }
 
-// TestWorkerThatWasSuspendedWithItsAgentIsStopped failed with the run going on for 3.5 s after both woke, by a worker's clock that had
-// stood still.
-func TestWorkerThatWasSuspendedWithItsAgentIsStopped(t *testing.T) {
+// TestRunsOfResumedWorkerAreStopped failed with a run that continued for 3.5 s after agent and worker resumed, by the worker's clock, which had stopped
+// during the suspension.
+func TestRunsOfResumedWorkerAreStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := &fakeWorker{start: accept}
+		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		r.held(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: testRun(1)}}})
-		_, _, ok := r.nextHold()
+		r.recordRenewal(t.Context(), testID, host.Renewal{}, host.View{Clock: 1, Running: []host.Running{{Run: testRun(1)}}})
+		_, _, ok := r.nextRenewal()
 		assert.Assert(t, ok)
 		synctest.Wait()
-		assert.Equal(t, len(worker.stopped()), 0, "it is permitted")
+		assert.Equal(t, len(worker.stopped()), 0, "the agent lease has not expired")
 		suspend(t, r, 20*time.Second)
-		_, hold, _ := r.nextHold()
-		assert.Equal(t, hold.Until, host.Clock(0))
+		_, renewal, _ := r.nextRenewal()
+		assert.Equal(t, renewal.Until, host.Clock(0))
 		synctest.Wait()
 		assert.DeepEqual(t, worker.stopped(), []host.Run{testRun(1)})
 	})
