--- a/internal/dispatch/entries.go
+++ b/internal/dispatch/entries.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// notifyTimeout bounds how long an entry may take to answer; its next ping tells it as well.
+	// notifyTimeout bounds how long an entry may take to answer a notification; the answer to its next ping has the same information.
 	notifyTimeout = 500 * time.Millisecond
-	// rosterRefreshInterval lies between two looks at which entries ping no more, and at their order.
+	// rosterRefreshInterval is the least time between two removals of entries that no longer ping, each followed by a new ranking.
 	rosterRefreshInterval = time.Second
-	// maxEntriesSent is how many entries one process is told: enough to reach some of them after any loss, whatever the size of the fleet.
+	// maxEntriesSent is how many entries one process is sent: enough to reach some of them after any loss, whatever the size of the fleet.
 	maxEntriesSent = 32
 )
 
-// entry is an entry as its latest ping tells.
+// entry is an entry by its last ping.
 type entry struct {
 	lastPing time.Time
 	peer     *rpc.Peer
 	strength float64
-	// rank is the place of the entry among those that may lead next, 0 before it was ranked.
+	// rank is the position of the entry among the candidates for the next leader, from 1; 0 if it is not ranked yet.
 	rank int
 }
 
-// roster holds the entries that ping the leader, and numbers each version of their list from 1.
+// roster holds the entries that ping the leader and numbers the versions of the list of their addresses from 1.
 type roster struct {
 	entries map[string]*entry
-	// addresses has the addresses of the leader and of the entries, in order.
+	// addresses has the addresses of the leader and of the entries, sorted.
 	addresses []string
 	version   uint64
 	refreshed time.Time
@@ -43,7 +43,7 @@
 	return &roster{entries: make(map[string]*entry), addresses: []string{self}, version: 1}
 }
 
-// record stores that an entry of a strength has just pinged, and returns it.
+// record records a ping of an entry with its strength and returns the entry.
 func (r *roster) record(address string, strength float64, peer *rpc.Peer, now time.Time) *entry {
 	e := r.entries[address]
 	if e == nil {
@@ -58,8 +58,8 @@
 	return e
 }
 
-// rank orders the entries that may lead next: the strongest first, those of one strength in an order that differs for each epoch, so that one
-// that cannot lead is not always the first to try.
+// rank ranks the candidates for the next leader: the strongest first, those of equal strength in an order that differs for each epoch, so that
+// an entry that cannot lead is not the first candidate of every epoch.
 func (r *roster) rank(epoch uint64) {
 	type candidate struct {
 		entry *entry
@@ -77,14 +77,14 @@
 	}
 }
 
-// hashOf returns a number that orders addresses differently for each name.
+// hashOf returns a hash of an address by which addresses sort in a different order for each name.
 func hashOf(name, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name + " " + address))
 	return h.Sum64()
 }
 
-// refresh removes the entries whose last ping is older than trust and ranks the others, at most once in refreshEvery.
+// refresh removes the entries whose last ping is older than leaderTimeout and ranks the others, at most once in rosterRefreshInterval.
 func (r *roster) refresh(self string, epoch uint64, now time.Time) {
 	if now.Sub(r.refreshed) < rosterRefreshInterval {
 		return
@@ -103,30 +103,30 @@
 	}
 }
 
-// addressesFor returns the addresses for a process that has a version of the list, nil where that is the latest, and the number of the latest. The
-// list hardly ever changes, and would be most of each answer.
-func (r *roster) addressesFor(process string, has uint64) ([]string, uint64) {
-	if has == r.version {
-		return nil, has
+// addressesFor returns the addresses to send to a process that has a version of the list, nil if that is the current one, and the current
+// version. The list rarely changes and would be most of each answer.
+func (r *roster) addressesFor(process string, version uint64) ([]string, uint64) {
+	if version == r.version {
+		return nil, version
 	}
 	return sampleOf(r.addresses, process), r.version
 }
 
-// sampleOf returns at most mostNamed addresses, a stable sample that differs from process to process.
-func sampleOf(list []string, process string) []string {
-	if len(list) <= maxEntriesSent {
-		return slices.Clone(list)
+// sampleOf returns at most maxEntriesSent addresses, a stable sample that differs from process to process.
+func sampleOf(addresses []string, process string) []string {
+	if len(addresses) <= maxEntriesSent {
+		return slices.Clone(addresses)
 	}
-	weights := make(map[string]uint64, len(list))
-	for _, address := range list {
-		weights[address] = hashOf(process, address)
+	hashes := make(map[string]uint64, len(addresses))
+	for _, address := range addresses {
+		hashes[address] = hashOf(process, address)
 	}
-	sample := slices.SortedFunc(slices.Values(list), func(a, b string) int { return cmp.Compare(weights[a], weights[b]) })[:maxEntriesSent]
+	sample := slices.SortedFunc(slices.Values(addresses), func(a, b string) int { return cmp.Compare(hashes[a], hashes[b]) })[:maxEntriesSent]
 	slices.Sort(sample)
 	return sample
 }
 
-// recordPing stores that an entry has pinged, and returns what it is told of the other processes.
+// recordPing records the ping of an entry and returns the answer with the state of the leader and the addresses of other entries.
 func (t *term) recordPing(p link.Ping, peer *rpc.Peer) link.PingAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,20 +137,20 @@
 	return answer
 }
 
-// entriesFor returns the entries that a process is told, see roster.namedFor.
-func (t *term) entriesFor(process string, has uint64) ([]string, uint64) {
+// entriesFor returns the addresses of entries to send to a process, see roster.addressesFor.
+func (t *term) entriesFor(process string, version uint64) ([]string, uint64) {
 	t.roster.refresh(t.dispatcher.config.Address, t.epoch, time.Now())
-	return t.roster.addressesFor(process, has)
+	return t.roster.addressesFor(process, version)
 }
 
-// notifyEntries tells all entries at once when the store goes away, or is back; each then pings to learn more.
+// notifyEntries notifies all entries when the store becomes unavailable or available again; each then pings for the new state.
 func (t *term) notifyEntries() {
-	away := t.dispatcher.config.Health.Down()
-	if away == t.notifiedStoreDown {
+	down := t.dispatcher.config.Health.Down()
+	if down == t.notifiedStoreDown {
 		return
 	}
-	t.notifiedStoreDown = away
-	t.logger.Warn("the entries are told of the store; away=%t", away)
+	t.notifiedStoreDown = down
+	t.logger.Warn("entries are notified of the availability of the store; away=%t", down)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.roster.entries {
@@ -160,7 +160,7 @@
 	}
 }
 
-// notifyEntry wakes an entry; one that cannot be reached learns the same by its own calls.
+// notifyEntry notifies an entry of a change; an unreachable one detects it by its own calls to the store.
 func notifyEntry(peer *rpc.Peer) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
--- a/internal/dispatch/fences.go
+++ b/internal/dispatch/fences.go
@@ -1,17 +1,18 @@
 package dispatch
 
 const (
-	// FencesPerEpoch is how far epochs lie apart: a leader grants the numbers up to its own epoch. Processes of the release before number epochs
-	// one after the other and use the epoch as the fence, so that they follow at any time.
+	// FencesPerEpoch is the distance between two epochs: a leader grants the fencing tokens between the previous epoch and its own. Processes
+	// of the previous release number epochs consecutively and use the epoch as the fence, so either release may take over from the other.
 	FencesPerEpoch = 1_000_000_000
-	// fencesPerConnection is how many numbers a connection is granted. An agent takes one more with each doubt about its worker.
+	// fencesPerConnection is how many fencing tokens a connection is granted. An agent uses the next one whenever the state of its worker is uncertain.
 	fencesPerConnection = 1_000
 )
 
-// fenceRange are the numbers under which an agent may call its worker.
+// fenceRange is the range of fencing tokens with which an agent may call its worker.
 type fenceRange struct{ first, last uint64 }
 
-// grantFences returns numbers for a connection, above those of all before; once they are used up, all have the epoch.
+// grantFences returns fencing tokens for a connection, above those of all previous connections; once all are granted, each further connection
+// gets the epoch as its only token.
 func (t *term) grantFences() fenceRange {
 	first := t.epoch - FencesPerEpoch + 1 + t.fenceGrants*fencesPerConnection
 	last := first + fencesPerConnection - 1
--- a/internal/dispatch/hosted.go
+++ b/internal/dispatch/hosted.go
@@ -11,60 +11,60 @@
 	"github.com/saffronpulley/saffronpulley/internal/pressure"
 )
 
-// hostState is one incarnation of a worker and what is placed there.
+// hostState is one incarnation of a worker with the runs that are placed on it.
 type hostState struct {
 	worker plan.Worker
 	runs   map[job.TaskID]*placedRun
-	// ended says that the incarnation has ended and its runs were counted as lost.
+	// ended reports whether the incarnation has ended and its runs were counted as lost.
 	ended bool
-	// draining says that the worker leaves, and all that runs there with it.
+	// draining reports whether the worker drains: it takes no more starts, and its runs end with it.
 	draining bool
-	// sampledAt is when the figures were last taken into account, used what each image that fills used by them, in shares of
-	// the worker.
+	// sampledAt is when the measurements were last evaluated, imageUsage has the share of the worker's processors that each
+	// image with best-effort tasks used by them.
 	sampledAt  time.Time
 	imageUsage map[string]float64
-	// consecutiveFailures counts runs that ended as failed since the last that was done.
+	// consecutiveFailures counts the runs that have failed since the last one that succeeded.
 	consecutiveFailures int
 }
 
-// placedRun is a run that is placedRun on a worker.
+// placedRun is a run that is placed on a worker.
 type placedRun struct {
 	step   *job.Step
 	number int
-	// placedAt is when the run was placed, or became known to this lead.
+	// placedAt is when the run was placed, or loaded by this leader.
 	placedAt time.Time
-	// committed says that the store has the run, sent when its order last left.
+	// committed reports whether the store has the run, startSentAt is when its start was last ordered.
 	committed   bool
 	startSentAt time.Time
 	stopping    bool
 	stopSentAt  time.Time
-	// handedOver says that the run was ordered on an earlier incarnation of the worker, and is only to be refused here.
+	// handedOver reports whether the run was ordered on a previous incarnation of the worker: this incarnation must only reject it.
 	handedOver bool
 	percent    int
-	// measurement is the latest: the tail in milliseconds of a task that serves, else the thousandths of a core in use.
+	// measurement is the last one: the tail latency in milliseconds of a serving task, else the used processor time in thousandths of a core.
 	measurement int
-	// progressedAt is when the task last got on, or stood still for its pace; still counts the figures since, looked is when the
-	// last of them came.
+	// progressedAt is when the task last made progress, or was too throttled to make any; stalledSamples counts the samples since then
+	// and stallSampledAt is when the last of them was taken.
 	progressedAt   time.Time
 	stalledSamples int
 	stallSampledAt time.Time
-	// pace is the pace in percent of a task that fills, slow since when it has been below slowPace.
+	// pace is the pace of a best-effort task in percent, slowSince is since when it has been below slowPace.
 	pace      int
 	slowSince time.Time
-	// overTargetSince is since when a task that serves has been overTargetSince its target, zero while it is not.
+	// overTargetSince is since when a serving task has exceeded its latency target, zero while it does not.
 	overTargetSince time.Time
-	// survivedStart says that the run has outlived its start, as the lead saw first at provedAt; suspect that it started alone to show
-	// whether it crashes its worker.
+	// survivedStart reports whether the run has survived its startup, as first reported at survivedStartAt; startedAlone whether it was
+	// started without other starting tasks, to show whether it crashes its worker.
 	survivedStart   bool
 	survivedStartAt time.Time
 	startedAlone    bool
-	// reportedAt is when the worker last showed the run.
+	// reportedAt is when the worker last reported the run as running.
 	reportedAt time.Time
-	// headroomOffset is by how much a task that serves is off its load.
+	// headroomOffset is how far the headroom of a serving task differs from what its load and its neighbors explain.
 	headroomOffset pressure.Residual
 }
 
-// minimumLifetime returns for how long the run was seen to live at the least.
+// minimumLifetime returns how long the run has lived at least, by the reports of its worker.
 func (p *placedRun) minimumLifetime() time.Duration {
 	if !p.survivedStart {
 		return 0
@@ -72,7 +72,7 @@
 	return crash.StartupTime + p.reportedAt.Sub(p.survivedStartAt)
 }
 
-// updateProgress takes note of how far a task is, at its pace.
+// updateProgress records the progress of a task and counts the samples without progress, unless the task is throttled below minStallPace.
 func (p *placedRun) updateProgress(percent, pace int) {
 	now := time.Now()
 	switch {
@@ -86,23 +86,23 @@
 	p.stallSampledAt = now
 }
 
-// ensureHost returns what is known of an incarnation of a worker, with an empty record of one that is new.
-func (t *term) ensureHost(name job.Host) *hostState {
-	h := t.hosts.get(name)
+// ensureHost returns the state of an incarnation of a worker and creates an empty one if it has none.
+func (t *term) ensureHost(host job.Host) *hostState {
+	h := t.hosts.get(host)
 	if h == nil {
-		h = &hostState{worker: plan.Worker{Host: name, Trials: plan.Unlimited}, runs: make(map[job.TaskID]*placedRun)}
+		h = &hostState{worker: plan.Worker{Host: host, Trials: plan.Unlimited}, runs: make(map[job.TaskID]*placedRun)}
 		t.hosts.add(h)
 	}
 	return h
 }
 
-// addRun counts a run that the store has.
+// addRun places a run that the store has and allocates its capacity.
 func (h *hostState) addRun(id job.TaskID, step *job.Step, run int) {
 	h.runs[id] = &placedRun{step: step, number: run, placedAt: time.Now(), committed: true, progressedAt: time.Now(), pace: pacing.Full}
 	h.worker.Allocate(step)
 }
 
-// removeRun counts a run as gone.
+// removeRun removes a run and releases its capacity.
 func (h *hostState) removeRun(id job.TaskID, run int) {
 	p := h.runs[id]
 	if p == nil || p.number != run {
@@ -112,7 +112,7 @@
 	h.worker.Release(p.step)
 }
 
-// requestStop asks for the end of a run; its room stays taken until the end is known.
+// requestStop stops the run of a task; its capacity stays allocated until its end is reported.
 func (t *term) requestStop(id job.TaskID, task *job.Task) {
 	h := t.hosts.get(task.Host())
 	if h == nil || h.runs[id] == nil || h.runs[id].number != task.Run() {
@@ -125,20 +125,20 @@
 	}
 }
 
-// stopRun stops a committed run, so that its task starts elsewhere.
+// stopRun stops a committed run so that its task can be placed elsewhere.
 func (t *term) stopRun(host job.Host, id job.TaskID, p *placedRun) {
 	p.stopping = true
 	t.sendStop(host, id, p)
 }
 
-// sendStop orders the stop of a run and notes when, unless its agent cannot be reached.
+// sendStop orders the stop of a run and records the time, unless its agent is unreachable.
 func (t *term) sendStop(host job.Host, id job.TaskID, p *placedRun) {
 	if t.orderStop(host, id, p.number) {
 		p.stopSentAt = time.Now()
 	}
 }
 
-// findRun returns a findRun that is placed here, nil for any other.
+// findRun returns a run that is placed on the worker, nil if it is not or has another number.
 func (h *hostState) findRun(r link.Run) *placedRun {
 	id, ok := r.TaskID()
 	p := h.runs[id]
@@ -148,10 +148,10 @@
 	return p
 }
 
-// recordLostRuns takes back runs of an incarnation that has ended, and forgets the incarnation once none is left.
+// recordLostRuns ends runs of an incarnation that has ended, and removes the incarnation once it has no runs.
 func (t *term) recordLostRuns(h *hostState, runs []job.TaskID, reason string) {
 	if len(runs) > 0 {
-		t.logger.Warn("a worker's runs are lost; vm=%s instance=%s runs=%d reason=%s",
+		t.logger.Warn("runs of a worker incarnation are lost; vm=%s instance=%s runs=%d reason=%s",
 			h.worker.Host.VM, h.worker.Host.Incarnation, len(runs), reason)
 	}
 	for _, id := range runs {
@@ -163,55 +163,55 @@
 	t.wakeUp()
 }
 
-// recordEnd records the end of a run, wherever the task stands now.
+// recordEnd records the end of a run, whichever phase its task is in.
 func (t *term) recordEnd(id job.TaskID, run int, end job.End, checkpoint string, host job.Host) {
-	began := time.Time{}
+	placedAt := time.Time{}
 	if h := t.hosts.get(host); h != nil {
 		if p := h.runs[id]; p != nil {
-			began = p.placedAt
+			placedAt = p.placedAt
 		}
 		h.removeRun(id, run)
 	}
-	known := t.jobs[id.Job]
-	if known == nil || !known.job.RecordEnd(id, run, end, checkpoint) {
+	tracked := t.jobs[id.Job]
+	if tracked == nil || !tracked.job.RecordEnd(id, run, end, checkpoint) {
 		return
 	}
-	known.backOffAfterEnd(id, end, began)
+	tracked.backOffAfterEnd(id, end, placedAt)
 	t.logger.Info("run ended; task=%s run=%d vm=%s end=%s", id, run, host.VM, end)
-	step := &known.job.Spec().Steps[id.Step]
+	step := &tracked.job.Spec().Steps[id.Step]
 	if h := t.hosts.get(host); h != nil && !step.LongRunning {
 		h.updateFailures(end)
 	}
 	if step.Gang && end == job.EndDone {
-		t.stopGang(known, id)
+		t.stopGang(tracked, id)
 	}
 	if end == job.EndFailed {
-		known.failedHosts[host] = true
+		tracked.failedHosts[host] = true
 	}
-	t.recordJobEnd(known)
-	t.markDirty(known)
+	t.recordJobEnd(tracked)
+	t.markDirty(tracked)
 }
 
-// recordJobEnd ends what is left of a job that has just come to its final state.
-func (t *term) recordJobEnd(known *trackedJob) {
-	state := known.job.State()
-	if !state.IsFinal() || !known.endedAt.IsZero() {
+// recordJobEnd stops the remaining runs of a job that has just reached a final state.
+func (t *term) recordJobEnd(tracked *trackedJob) {
+	state := tracked.job.State()
+	if !state.IsFinal() || !tracked.endedAt.IsZero() {
 		return
 	}
 	t.logger.Info("job ended; job=%s state=%s ms=%d objective_ms=%d",
-		known.job.ID(), state, time.Since(known.acceptedAt).Milliseconds(), known.job.Objective().Milliseconds())
-	t.stopRuns(known)
+		tracked.job.ID(), state, time.Since(tracked.acceptedAt).Milliseconds(), tracked.job.Objective().Milliseconds())
+	t.stopRuns(tracked)
 }
 
-// stopGang stops what is left of a gang that one end has ended for all: an order that is still on its way, at the most.
-func (t *term) stopGang(known *trackedJob, ended job.TaskID) {
+// stopGang stops the other members of a gang of which one has succeeded: at most an order that is still in transit.
+func (t *term) stopGang(tracked *trackedJob, ended job.TaskID) {
 	member := ended
-	for member.Index = range known.job.Tasks(ended.Iteration, ended.Step) {
-		t.requestStop(member, known.job.Task(member))
+	for member.Index = range tracked.job.Tasks(ended.Iteration, ended.Step) {
+		t.requestStop(member, tracked.job.Task(member))
 	}
 }
 
-// updateFailures counts failures in a row of the tasks that end by themselves.
+// updateFailures counts consecutive failures of tasks that are not long-running.
 func (h *hostState) updateFailures(end job.End) {
 	switch end {
 	case job.EndDone:
--- a/internal/dispatch/hostset.go
+++ b/internal/dispatch/hostset.go
@@ -6,9 +6,9 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// hostSet holds the known incarnations of workers, by identity, by VM and in order.
+// hostSet holds the states of worker incarnations, indexed by host and by VM, and sorted.
 //
-// Its slices are replaced and never changed in place, so that one that was returned stays valid while hosts are added and removed.
+// Its slices are copied on write, so a returned slice stays valid while hosts are added and removed.
 type hostSet struct {
 	byHost map[job.Host]*hostState
 	byVM   map[string][]*hostState
@@ -19,48 +19,48 @@
 	return &hostSet{byHost: make(map[job.Host]*hostState), byVM: make(map[string][]*hostState)}
 }
 
-// get returns what is known of an incarnation, nil for an unknown one.
-func (s *hostSet) get(name job.Host) *hostState { return s.byHost[name] }
+// get returns the state of an incarnation, nil for an unknown one.
+func (s *hostSet) get(host job.Host) *hostState { return s.byHost[host] }
 
-// all returns the incarnations in an order that does not depend on when they were added, so that neither does a plan.
+// all returns the incarnations sorted by host, so that placement does not depend on the order in which they were added.
 func (s *hostSet) all() []*hostState { return s.sorted }
 
-// onVM returns the incarnations known on a VM, in order.
+// onVM returns the incarnations on a VM, sorted.
 func (s *hostSet) onVM(vm string) []*hostState { return s.byVM[vm] }
 
 func (s *hostSet) len() int { return len(s.sorted) }
 
 // add adds an incarnation that is not in the set.
 func (s *hostSet) add(h *hostState) {
-	name := h.worker.Host
-	s.byHost[name] = h
-	s.byVM[name.VM] = insertHost(s.byVM[name.VM], h)
+	host := h.worker.Host
+	s.byHost[host] = h
+	s.byVM[host.VM] = insertHost(s.byVM[host.VM], h)
 	s.sorted = insertHost(s.sorted, h)
 }
 
 // remove removes an incarnation; an unknown one is ignored.
-func (s *hostSet) remove(name job.Host) {
-	if s.byHost[name] == nil {
+func (s *hostSet) remove(host job.Host) {
+	if s.byHost[host] == nil {
 		return
 	}
-	delete(s.byHost, name)
-	s.byVM[name.VM] = withoutHost(s.byVM[name.VM], name)
-	if len(s.byVM[name.VM]) == 0 {
-		delete(s.byVM, name.VM)
+	delete(s.byHost, host)
+	s.byVM[host.VM] = withoutHost(s.byVM[host.VM], host)
+	if len(s.byVM[host.VM]) == 0 {
+		delete(s.byVM, host.VM)
 	}
-	s.sorted = withoutHost(s.sorted, name)
+	s.sorted = withoutHost(s.sorted, host)
 }
 
-// rename gives an incarnation another identity.
-func (s *hostSet) rename(h *hostState, name job.Host) {
+// rename changes the host of an incarnation.
+func (s *hostSet) rename(h *hostState, host job.Host) {
 	s.remove(h.worker.Host)
-	h.worker.Host = name
+	h.worker.Host = host
 	s.add(h)
 }
 
-// searchHost returns where an incarnation stands in a sorted slice, or would stand.
-func searchHost(sorted []*hostState, name job.Host) (int, bool) {
-	return slices.BinarySearchFunc(sorted, name, func(h *hostState, name job.Host) int { return compareHosts(h.worker.Host, name) })
+// searchHost returns the index of an incarnation in a sorted slice, or the index to insert it at, and whether it was found.
+func searchHost(sorted []*hostState, host job.Host) (int, bool) {
+	return slices.BinarySearchFunc(sorted, host, func(h *hostState, host job.Host) int { return compareHosts(h.worker.Host, host) })
 }
 
 func insertHost(sorted []*hostState, h *hostState) []*hostState {
@@ -68,8 +68,8 @@
 	return slices.Insert(slices.Clone(sorted), at, h)
 }
 
-func withoutHost(sorted []*hostState, name job.Host) []*hostState {
-	at, found := searchHost(sorted, name)
+func withoutHost(sorted []*hostState, host job.Host) []*hostState {
+	at, found := searchHost(sorted, host)
 	if !found {
 		return sorted
 	}
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// noReportsTimeout is how long a lead goes on without reports before it leaves the lead to another entry.
+	// noReportsTimeout is how long a leader goes on without reports before it leaves the leadership to another entry.
 	noReportsTimeout = 2500 * time.Millisecond
-	// noReportsCooldown is how long it does not stand again.
+	// noReportsCooldown is how long it is no candidate after that.
 	noReportsCooldown = 4 * time.Second
 )
 
-// renewLease keeps the lease and proves now and then that the term still stands.
+// renewLease renews the leader's lease in the store until ctx ends or no agent reports any more.
 func (t *term) renewLease(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, renewInterval)
@@ -25,17 +25,17 @@
 		case fault.Is(err, fault.NotFound):
 			t.replaceLease(ctx)
 		default:
-			t.logger.Warn("the lease was not renewed: %v", err)
+			t.logger.Warn("the leader lease was not renewed: %v", err)
 		}
 		if t.lostAllAgents() {
 			t.dispatcher.backoffUntil.Store(time.Now().Add(noReportsCooldown).UnixMilli())
-			return fault.New(fault.Leaving, "no agent reports to this lead")
+			return fault.New(fault.Leaving, "no agent reports to this leader")
 		}
 	}
 	return ctx.Err()
 }
 
-// lostAllAgents reports whether the lead has lost all its agents, as one that is cut off has.
+// lostAllAgents reports whether no agent has reported within noReportsTimeout though entries ping, as when the leader is cut off from the agents.
 func (t *term) lostAllAgents() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,16 +56,16 @@
 	return b
 }
 
-// replaceLease asks for a new lease; the next commit puts the lead's key under it.
+// replaceLease asks the store for a new lease; the next commit puts the leader key under it.
 func (t *term) replaceLease(ctx context.Context) {
 	lease, err := t.store.Grant(ctx, leaseTTL)
 	if err != nil {
-		t.logger.Warn("the lease ran out and there is no new one yet: %v", err)
+		t.logger.Warn("the leader lease expired and was not replaced: %v", err)
 		return
 	}
 	t.mu.Lock()
 	t.lease, t.leaseReplaced = lease, true
 	t.mu.Unlock()
-	t.logger.Info("the lease ran out; the lead is entered again under a new one")
+	t.logger.Info("the leader lease expired; the leader key is written again under a new lease")
 	t.wakeUp()
 }
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -9,14 +9,14 @@
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 )
 
-// orderTimeout bounds how long an agent may take to acknowledge orders; it does so before it carries them out.
+// orderTimeout bounds how long an agent may take to acknowledge orders, which it does before it carries them out.
 const orderTimeout = 800 * time.Millisecond
 
 // session is the connection of an agent.
 type session interface {
-	// number tells the order in which sessions began.
+	// number returns a number that rises with each session.
 	number() uint64
-	// send hands the agent orders and waits until it has them.
+	// send sends orders to the agent and waits until it acknowledges them.
 	send(orders link.Orders) error
 	close()
 }
@@ -35,11 +35,11 @@
 
 func (c connection) close() { c.peer.Close() }
 
-// orderStart orders a committed run; a run without a reachable agent is ordered once its agent reports. In a hall that was closed
-// meanwhile it is taken back by a stop in place of that, since an earlier order may have arrived.
+// orderStart orders the start of a committed run; without a reachable agent it is ordered once the agent reports. If the hall has been closed
+// since, the run is stopped instead, because an earlier order may have arrived.
 func (t *term) orderStart(host job.Host, id job.TaskID, p *placedRun) {
-	known := t.jobs[id.Job]
-	if known == nil || t.closures.Stale() {
+	tracked := t.jobs[id.Job]
+	if tracked == nil || t.closures.Stale() {
 		return
 	}
 	if t.hallClosed(host) {
@@ -51,9 +51,9 @@
 		return
 	}
 	p.startSentAt = time.Now()
-	checkpoint := known.job.Task(id).Checkpoint()
+	checkpoint := tracked.job.Task(id).Checkpoint()
 	if p.step.Gang {
-		checkpoint = known.job.GangCheckpoint(id.Iteration, id.Step)
+		checkpoint = tracked.job.GangCheckpoint(id.Iteration, id.Step)
 	}
 	if !p.step.Checkpoints {
 		checkpoint = ""
@@ -61,10 +61,10 @@
 	orders.Starts = append(orders.Starts, link.Start{
 		Profile: profileOf(p.step, link.NewRun(id, p.number)), Checkpoint: checkpoint, Ticket: t.ticket(host, id),
 	})
-	orders.Texts[string(id.Job)] = known.job.Spec().Text
+	orders.Texts[string(id.Job)] = tracked.job.Spec().Text
 }
 
-// orderStop orders the end of a run, also of one that is not placed, and reports whether its agent can be reached.
+// orderStop orders the stop of a run, which need not be placed, and reports whether the agent is reachable.
 func (t *term) orderStop(host job.Host, id job.TaskID, run int) bool {
 	orders := t.ordersFor(host)
 	if orders == nil {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// ordersFor returns the orders that are gathered for a worker's agent, nil where that cannot be reached.
+// ordersFor returns the pending orders for the agent of a worker, nil if the agent is unreachable.
 func (t *term) ordersFor(host job.Host) *link.Orders {
 	a := t.agents[host.VM]
 	if a == nil || a.session == nil || a.host != host {
@@ -88,7 +88,7 @@
 	return a.pendingOrders
 }
 
-// flush sends the gathered orders; the agents' connections are used outside the lock.
+// flush sends the pending orders, each in a goroutine of its own, since calls to agents must not hold the lock.
 func (t *term) flush() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,14 +103,14 @@
 
 func (t *term) send(vm string, host job.Host, s session, orders link.Orders) {
 	if err := s.send(orders); err != nil {
-		t.logger.Warn("orders were not acknowledged and the agent is dropped; vm=%s starts=%d stops=%d reason=%v",
+		t.logger.Warn("orders were not acknowledged and the agent session is closed; vm=%s starts=%d stops=%d reason=%v",
 			vm, len(orders.Starts), len(orders.Stops), err)
 		t.markUnsent(host, orders)
 		s.close()
 	}
 }
 
-// markUnsent takes note that orders may not have arrived: the agent's next report shows which of them are to be given again.
+// markUnsent records that orders may not have arrived, so that those missing from the agent's next report are sent again at once.
 func (t *term) markUnsent(host job.Host, orders link.Orders) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,11 +130,11 @@
 	}
 }
 
-// ticket returns what a start on a worker brings for an advised queue, empty where none is known.
+// ticket returns the ticket to send with a start of a task on a worker, empty if the advisor gave none.
 func (t *term) ticket(h job.Host, id job.TaskID) string {
-	known := t.advice[stepID{id.Job, id.Iteration, id.Step}]
-	if known == nil {
+	stepAdvice := t.advice[stepID{id.Job, id.Iteration, id.Step}]
+	if stepAdvice == nil {
 		return ""
 	}
-	return known.tickets[h.Incarnation]
+	return stepAdvice.tickets[h.Incarnation]
 }
--- a/internal/dispatch/reconcile.go
+++ b/internal/dispatch/reconcile.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// resendAfter is how long after its order a run may be missing from a report before it is ordered again.
+	// resendAfter is how long after its order a run may be missing from reports before it is ordered again.
 	resendAfter = 900 * time.Millisecond
-	// minStallPace is the pace in percent below which a task that stands still is not held against its worker.
+	// minStallPace is the pace in percent below which a task without progress does not count as stalled on its worker.
 	minStallPace = 50
 )
 
-// reconcile compares what the worker has with what is placed there. It adds the jobs that must be saved before the reported
-// ends may go, and reports whether the ends were looked at.
-func (t *term) reconcile(a *agent, r link.Report, needed map[*trackedJob]uint64) bool {
+// reconcile compares the reported runs of a worker with the runs placed on it. It adds the jobs that must be saved before the reported ends may
+// be acknowledged, and reports whether the ends were recorded.
+func (t *term) reconcile(a *agent, r link.Report, required map[*trackedJob]uint64) bool {
 	h := t.hosts.get(job.Host{VM: r.VM, Incarnation: r.Incarnation()})
 	if h == nil || !r.Fenced || r.Epoch != t.epoch {
 		return false
@@ -26,8 +26,8 @@
 		if id, ok := e.TaskID(); ok {
 			t.resolveEnded(id, e.Number)
 			t.recordEnd(id, e.Number, job.End(e.End), e.Checkpoint, a.host)
-			if known := t.jobs[id.Job]; known != nil {
-				needed[known] = known.version
+			if tracked := t.jobs[id.Job]; tracked != nil {
+				required[tracked] = tracked.version
 			}
 		}
 	}
@@ -39,12 +39,12 @@
 		t.compareRuns(h, r)
 		t.sample(h, r)
 	case r.Lapsed:
-		t.markUnreachable(h, "the worker is silent and its time is over")
+		t.markUnreachable(h, "the worker does not answer and its leases have expired")
 	}
 	return true
 }
 
-// handleRejected takes back a run that never started.
+// handleRejected removes a run whose start was rejected and makes its task placeable again.
 func (t *term) handleRejected(h *hostState, r link.Rejected) {
 	p := h.findRun(r.Run)
 	if p == nil {
@@ -53,52 +53,52 @@
 	id, _ := r.TaskID()
 	t.logger.Info("start rejected; task=%s run=%d vm=%s reason=%s", r.Task, r.Number, h.worker.Host.VM, host.Refusal(r.Refusal))
 	h.removeRun(id, r.Number)
-	known := t.jobs[id.Job]
-	if known == nil {
+	tracked := t.jobs[id.Job]
+	if tracked == nil {
 		return
 	}
 	switch {
 	case p.handedOver:
-		// It was never ordered there, and its refusal says nothing of the worker.
+		// The run was never ordered on this incarnation, so its rejection says nothing about the worker.
 	case host.Refusal(r.Refusal) == host.RefusedTicket:
 		t.dropAdvice(id)
 	default:
-		known.failedHosts[h.worker.Host] = true
-		known.backOffAfterRefusal(id, host.Refusal(r.Refusal))
+		tracked.failedHosts[h.worker.Host] = true
+		tracked.backOffAfterRefusal(id, host.Refusal(r.Refusal))
 	}
-	if known.job.Unplace(id, r.Number) {
-		t.markDirty(known)
+	if tracked.job.Unplace(id, r.Number) {
+		t.markDirty(tracked)
 	}
 }
 
-// compareRuns orders again what is missing and stops what should not run.
+// compareRuns orders the starts of missing runs again and stops runs that are not placed or are stopping.
 func (t *term) compareRuns(h *hostState, r link.Report) {
-	present := make(map[job.TaskID]int, len(r.Running)+len(r.Pending))
+	reported := make(map[job.TaskID]int, len(r.Running)+len(r.Pending))
 	for _, running := range r.Running {
 		id, ok := running.TaskID()
 		if !ok {
 			continue
 		}
-		present[id] = running.Number
+		reported[id] = running.Number
 		t.handleRunning(h, id, running)
 	}
 	for _, pending := range r.Pending {
 		if id, ok := pending.TaskID(); ok {
-			present[id] = pending.Number
+			reported[id] = pending.Number
 		}
 	}
 	for _, id := range h.sortedRuns() {
 		p := h.runs[id]
-		if present[id] != p.number && p.committed && !p.stopping && time.Since(p.startSentAt) > resendAfter {
+		if reported[id] != p.number && p.committed && !p.stopping && time.Since(p.startSentAt) > resendAfter {
 			t.orderStart(h.worker.Host, id, p)
 		}
-		if present[id] != p.number && p.stopping && time.Since(p.stopSentAt) > resendAfter {
+		if reported[id] != p.number && p.stopping && time.Since(p.stopSentAt) > resendAfter {
 			t.sendStop(h.worker.Host, id, p)
 		}
 	}
 }
 
-// handleRunning takes note of a run that the worker has.
+// handleRunning records the state of a run that the worker reports, or stops it if it is not placed there or is stopping.
 func (t *term) handleRunning(h *hostState, id job.TaskID, r link.Running) {
 	p := h.runs[id]
 	if p == nil || p.number != r.Number {
@@ -111,8 +111,8 @@
 		}
 		return
 	}
-	if known := t.jobs[id.Job]; known != nil {
-		known.unsavedCheckpoints = known.job.RecordCheckpoint(id, r.Number, r.Checkpoint) || known.unsavedCheckpoints
+	if tracked := t.jobs[id.Job]; tracked != nil {
+		tracked.unsavedCheckpoints = tracked.job.RecordCheckpoint(id, r.Number, r.Checkpoint) || tracked.unsavedCheckpoints
 	}
 	if !r.Fresh {
 		t.recordStartupSurvival(h, id, p)
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -8,10 +8,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// commitWaitTimeout is how long the answer to a report waits for its ends to be committed.
+// commitWaitTimeout is how long the answer to a report, or to a query of a job's state, waits for a commit.
 const commitWaitTimeout = 300 * time.Millisecond
 
-// agent is an agent as its latest report tells.
+// agent is an agent by its last report.
 type agent struct {
 	vm               string
 	hall             string
@@ -19,45 +19,45 @@
 	lastReport       time.Time
 	host             job.Host
 	acknowledgedEnds uint64
-	// rowReader reads the reports of the session, and fences are the numbers that were granted to it.
+	// rowReader decodes the reports of the session, fences are the fencing tokens granted to it.
 	rowReader *link.RowReader
 	fences    fenceRange
-	// callsBrokenAt is when the calls to the worker last broke off, zero where they never did.
+	// callsBrokenAt is when the calls to the worker last began to fail, zero if they never did.
 	callsBrokenAt time.Time
-	// pendingOrders are gathered until they are sent.
+	// pendingOrders are the orders that are not sent yet.
 	pendingOrders *link.Orders
 }
 
-// receivedReport is a report that was receivedReport, and what must be saved before its ends and crashes may go.
+// receivedReport is a received report with the versions of jobs that must be saved before its ends and crashes may be acknowledged.
 type receivedReport struct {
 	agent            *agent
 	report           link.Report
 	answer           link.ReportAnswer
 	requiredVersions map[*trackedJob]uint64
 	lastCrash        uint64
-	// reconciled says that the reported reconciled were looked at.
+	// reconciled reports whether the reported ends were recorded.
 	reconciled bool
 }
 
-// report takes what an agent and its worker have, and answers with the permission to go on.
+// report records the report of an agent and returns the answer with the agent lease.
 func (t *term) report(s session, r link.Report) (link.ReportAnswer, error) {
 	if r.Epoch > t.epoch {
-		return link.ReportAnswer{}, fault.New(fault.Stale, "epoch %d is newer than this lead's %d", r.Epoch, t.epoch)
+		return link.ReportAnswer{}, fault.New(fault.Stale, "epoch %d is newer than this leader's %d", r.Epoch, t.epoch)
 	}
-	known, err := t.receiveReport(s, r)
+	received, err := t.receiveReport(s, r)
 	if err != nil {
-		t.logger.Warn("report is refused; vm=%s instance=%s reason=%v", r.VM, r.Incarnation(), err)
+		t.logger.Warn("report rejected; vm=%s instance=%s reason=%v", r.VM, r.Incarnation(), err)
 		return link.ReportAnswer{}, err
 	}
-	return t.completeAnswer(known, t.awaitSaved(known.requiredVersions)), nil
+	return t.completeAnswer(received, t.awaitSaved(received.requiredVersions)), nil
 }
 
-// receiveReport records what an agent and its worker have.
+// receiveReport records the reported state of an agent and its worker and prepares the answer.
 func (t *term) receiveReport(s session, r link.Report) (*receivedReport, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.superseded(s, r) {
-		return nil, fault.New(fault.Stale, "%s has reported by a newer connection", r.VM)
+		return nil, fault.New(fault.Stale, "%s has reported over a newer connection", r.VM)
 	}
 	a := t.ensureAgent(r.VM)
 	if a.session == nil || a.session.number() != s.number() {
@@ -66,15 +66,15 @@
 	if err := a.readRows(&r); err != nil {
 		return nil, err
 	}
-	known := &receivedReport{agent: a, report: r, requiredVersions: make(map[*trackedJob]uint64)}
-	concerned := make(map[*trackedJob]bool)
-	known.lastCrash = t.recordCrashes(a, r, concerned)
+	received := &receivedReport{agent: a, report: r, requiredVersions: make(map[*trackedJob]uint64)}
+	affected := make(map[*trackedJob]bool)
+	received.lastCrash = t.recordCrashes(a, r, affected)
 	t.recordAgent(a, s, r)
-	for concerning := range concerned {
-		known.requiredVersions[concerning] = concerning.version
+	for tracked := range affected {
+		received.requiredVersions[tracked] = tracked.version
 	}
-	known.reconciled = t.reconcile(a, r, known.requiredVersions)
-	answer := &known.answer
+	received.reconciled = t.reconcile(a, r, received.requiredVersions)
+	answer := &received.answer
 	answer.Epoch, answer.FirstFence, answer.LastFence = t.epoch, a.fences.first, a.fences.last
 	answer.Profiles = t.profiles(r.Unknown)
 	answer.Interference, answer.LoadFrequency = t.interferenceWeights(a.host), quantize(t.pressure.LoadFrequency(), frequencyResolution)
@@ -84,18 +84,18 @@
 	if len(t.dirty) > 0 {
 		t.wakeUp()
 	}
-	return known, nil
+	return received, nil
 }
 
-// completeAnswer completes the answer to a report, by whether what follows from it is saved.
-func (t *term) completeAnswer(known *receivedReport, saved bool) link.ReportAnswer {
+// completeAnswer adds the lease, the entries and, if the changes from the report are saved, the acknowledgements to the answer.
+func (t *term) completeAnswer(received *receivedReport, saved bool) link.ReportAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a, r, answer := known.agent, known.report, known.answer
+	a, r, answer := received.agent, received.report, received.answer
 	if saved {
-		answer.AcknowledgedCrashes = known.lastCrash
+		answer.AcknowledgedCrashes = received.lastCrash
 	}
-	if saved && known.reconciled && a.host == (job.Host{VM: r.VM, Incarnation: r.Incarnation()}) {
+	if saved && received.reconciled && a.host == (job.Host{VM: r.VM, Incarnation: r.Incarnation()}) {
 		for _, e := range r.Ended {
 			a.acknowledgedEnds = max(a.acknowledgedEnds, e.Sequence)
 		}
@@ -112,15 +112,15 @@
 	return answer
 }
 
-// superseded reports whether the agent has reported by a newer connection, so that a cut has held this report up. An agent
-// that starts again connects anew, and a connection that reports was answered while its agent lived: so the order of
-// connections is that of the agent's lives, and that of what they saw of the worker.
+// superseded reports whether the agent has already reported over a newer connection, so that this report was delayed by the network. An agent
+// opens a new connection when it starts, and a connection reports only after it was answered while its agent ran: so the order of connections
+// is the order of the agent's incarnations and of their observations of the worker.
 func (t *term) superseded(s session, r link.Report) bool {
 	a := t.agents[r.VM]
 	return a != nil && a.session != nil && s.number() < a.session.number()
 }
 
-// readRows brings the runs of a report back that are told as rows.
+// readRows decodes the running tasks of a report that are encoded as rows.
 func (a *agent) readRows(r *link.Report) (err error) {
 	if r.Running == nil {
 		r.Running, err = a.rowReader.Read(r.Rows, r.Named)
@@ -128,7 +128,7 @@
 	return err
 }
 
-// ensureAgent returns what is known of the agent of a VM, with an empty record of one that is new.
+// ensureAgent returns the record of the agent of a VM and creates an empty one if there is none.
 func (t *term) ensureAgent(vm string) *agent {
 	a := t.agents[vm]
 	if a == nil {
@@ -138,7 +138,7 @@
 	return a
 }
 
-// recordAgent records the agent and the incarnation of its worker; an earlier incarnation has lost all that it ran.
+// recordAgent records the session of an agent and the incarnation of its worker, and retires the previous incarnations on the VM.
 func (t *term) recordAgent(a *agent, s session, r link.Report) {
 	a.session, a.lastReport, a.hall = s, time.Now(), r.Hall
 	a.recordDisconnect(r.FirstFailureMillis)
@@ -150,9 +150,9 @@
 	if a.host != current {
 		t.logger.Info("worker reports; vm=%s instance=%s labels=%v cpu=%d memory=%d", r.VM, current.Incarnation, r.Labels, r.CPU, r.Memory)
 		a.host, a.acknowledgedEnds, a.pendingOrders = current, 0, nil
-		for _, earlier := range t.hosts.onVM(r.VM) {
-			if earlier.worker.Host != current {
-				t.retireIncarnation(a, earlier, nil, current.Incarnation, "the worker has another incarnation")
+		for _, other := range t.hosts.onVM(r.VM) {
+			if other.worker.Host != current {
+				t.retireIncarnation(a, other, nil, current.Incarnation, "the worker has another incarnation")
 			}
 		}
 		t.stopLateStarts(current)
@@ -170,16 +170,16 @@
 	t.hosts.get(current).draining = r.Draining
 }
 
-// awaitSaved waits until jobs are saved at given versions and reports whether they are.
-func (t *term) awaitSaved(needed map[*trackedJob]uint64) bool {
+// awaitSaved waits until the required versions of jobs are saved, and reports whether they are within commitWaitTimeout.
+func (t *term) awaitSaved(required map[*trackedJob]uint64) bool {
 	deadline := time.NewTimer(commitWaitTimeout)
 	defer deadline.Stop()
 	for {
 		t.mu.Lock()
 		committed := t.committed
 		missing := false
-		for known, version := range needed {
-			missing = missing || known.savedVersion < version
+		for tracked, version := range required {
+			missing = missing || tracked.savedVersion < version
 		}
 		t.mu.Unlock()
 		if !missing {
@@ -198,9 +198,9 @@
 func (t *term) profiles(runs []link.Run) []link.Profile {
 	var found []link.Profile
 	for _, r := range runs {
-		if known := t.jobOf(r); known != nil {
+		if tracked := t.jobOf(r); tracked != nil {
 			id, _ := r.TaskID()
-			found = append(found, profileOf(&known.job.Spec().Steps[id.Step], r))
+			found = append(found, profileOf(&tracked.job.Spec().Steps[id.Step], r))
 		}
 	}
 	return found
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -8,10 +8,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 )
 
-// JobState returns the state of a job as it is committed, false where this entry does not lead or cannot tell.
+// JobState returns the committed state of a job, false if this entry does not lead or cannot confirm the state.
 //
-// Callers often ask in the moment in which the last task has ended, some milliseconds before that is committed: the answer waits for the commit, so
-// that they need not ask again.
+// Callers often ask just after the last task has ended, some milliseconds before that is committed: the answer waits for the commit so that
+// they need not ask again.
 func (d *Dispatcher) JobState(id job.ID) (job.State, bool) {
 	t := d.term.Load()
 	if t == nil {
@@ -25,15 +25,15 @@
 	return link.JobStateAnswer{Known: known, State: int(state)}, nil
 }
 
-// jobState returns the state that a job has now, once it is committed.
+// jobState returns the current state of a job once it is committed, false if it is not within commitWaitTimeout.
 func (t *term) jobState(id job.ID) (job.State, bool) {
 	t.mu.Lock()
-	known := t.jobs[id]
-	if known == nil || t.verificationAge() > staleVerificationAfter {
+	tracked := t.jobs[id]
+	if tracked == nil || t.verificationAge() > staleVerificationAfter {
 		t.mu.Unlock()
 		return job.Queued, false
 	}
-	state, needed := known.job.State(), map[*trackedJob]uint64{known: known.version}
+	state, required := tracked.job.State(), map[*trackedJob]uint64{tracked: tracked.version}
 	t.mu.Unlock()
-	return state, t.awaitSaved(needed)
+	return state, t.awaitSaved(required)
 }
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -10,82 +10,82 @@
 )
 
 const (
-	// suspicionDuration is how long an entry stands against a lead that is suspected: a store that answers takes some milliseconds.
+	// suspicionDuration is how long an entry may campaign against a suspected leader: a store that answers takes a few milliseconds.
 	suspicionDuration = time.Second
-	// answerAgeMargin is by how much an entry's answer from the store must be newer than the lead's trouble to show that the store
-	// works: messages and slow processes make it look newer than it is.
+	// answerAgeMargin is how much newer an entry's last answer from the store must be than the leader's first failed call to show that the
+	// store works: message delays and slow processes make the answer look newer than it is.
 	answerAgeMargin = 20 * time.Millisecond
-	// yieldFailures is how many calls of a lead in a row are not answered, while the store answers others, until it yields: where
-	// a third of all answers is lost that happens once in some hundred commits.
+	// yieldFailures is the number of consecutive unanswered calls to the store after which a leader steps down while the store answers other
+	// entries: if a third of all answers is lost, that happens about once in several hundred commits.
 	yieldFailures = 5
-	// successorWait is how long a lead waits for an entry as strong as itself: one that is weaker plans more slowly for as long as it
-	// leads, and pings come twice a second.
+	// successorWait is how long a leader without the store waits for the ping of a successor at least as strong as itself: a weaker one plans
+	// more slowly for its whole term, and entries ping twice a second.
 	successorWait = 900 * time.Millisecond
-	// outrankFactor is how much stronger an entry has to be for a lead that is well to yield to it: at 160 workers a lead takes up to
+	// outrankFactor is how many times stronger an entry must be for a healthy leader to step down for it: with 160 workers a leader uses up to
 	// 0.37 of a core, which the weaker entries of the users' large site do not have.
 	outrankFactor = 2.0
-	// outrankTermAge is how old a term must be for that, outrankFresh how new the entry's latest answer from the store.
+	// outrankTermAge is the least age of the term for that, outrankAnswerAge the greatest age of the entry's last answer from the store.
 	outrankTermAge   = time.Second
 	outrankAnswerAge = time.Second
-	// yieldCooldown is how long a lead that yielded does not stand again.
+	// yieldCooldown is how long a leader that stepped down is no candidate.
 	yieldCooldown = time.Second
 )
 
-// suspectedLeader is a lead that may be replaced for a while.
+// suspectedLeader is a leader that this entry may replace before its lease expires.
 type suspectedLeader struct {
 	epoch uint64
 	until time.Time
-	// requested says that the leader itself asks this entry to lead.
+	// requested reports whether the leader itself asked this entry to take over.
 	requested bool
 }
 
-// SuspectLeader lets this entry stand against the lead of an epoch, which is gone; the chain of commits keeps a lead
-// that is suspected wrongly from doing harm.
+// SuspectLeader lets this entry campaign against the leader of an epoch, which seems to have failed. A wrong suspicion is harmless: each commit
+// depends on the previous one, so a replaced leader cannot commit.
 func (d *Dispatcher) SuspectLeader(epoch uint64, reason string) {
-	d.logger.Warn("the lead is suspected; epoch=%d reason=%s", epoch, reason)
+	d.logger.Warn("the leader is suspected; epoch=%d reason=%s", epoch, reason)
 	d.suspectedLeader.Store(&suspectedLeader{epoch: epoch, until: time.Now().Add(suspicionDuration)})
 	wait.Notify(d.suspicionChanged)
 }
 
-// TakeOver lets this entry lead at once in place of the leader of an epoch, which asks for it.
+// TakeOver lets this entry campaign at once to replace the leader of an epoch, which asks for it.
 func (d *Dispatcher) TakeOver(epoch uint64) {
-	d.logger.Info("the leader asks this entry to lead; epoch=%d", epoch)
+	d.logger.Info("the leader asks this entry to take over; epoch=%d", epoch)
 	d.suspectedLeader.Store(&suspectedLeader{epoch: epoch, until: time.Now().Add(suspicionDuration), requested: true})
 	wait.Notify(d.suspicionChanged)
 }
 
-// takeOverRequested reports whether the leader itself has just takeOverRequested this entry to lead.
+// takeOverRequested reports whether the leader has asked this entry to take over within suspicionDuration.
 func (d *Dispatcher) takeOverRequested() bool {
 	s := d.suspectedLeader.Load()
 	return s != nil && s.requested && time.Now().Before(s.until)
 }
 
-// mayReplace reports whether this entry may stand against the lead of an epoch.
+// mayReplace reports whether this entry may campaign against the leader of an epoch.
 func (d *Dispatcher) mayReplace(epoch uint64) bool {
 	s := d.suspectedLeader.Load()
 	return s != nil && s.epoch == epoch && time.Now().Before(s.until)
 }
 
-// storeReach tells whom the store answers.
+// storeReach is which processes the store answers.
 type storeReach int
 
 const (
-	// storeReachable: the store answers the lead.
+	// storeReachable: the store answers the leader, or may answer it soon.
 	storeReachable storeReach = iota
-	// storeUnavailable: it answers nobody that is known of.
+	// storeUnavailable: the store answers no known process.
 	storeUnavailable
-	// storeReachableByOthers: it answers an entry and not the lead.
+	// storeReachableByOthers: the store answers an entry but not the leader, which must step down.
 	storeReachableByOthers
 )
 
-// assessStore tells whom the store answers, by the lead's own calls and what an entry tells of its own.
+// assessStore returns which processes the store answers, by the leader's own calls and the ping of an entry.
 func (t *term) assessStore(p link.Ping) storeReach {
 	health := t.dispatcher.config.Health
 	if !health.Down() && health.Failures() < yieldFailures {
 		return storeReachable
 	}
-	answered := time.Now().Add(-time.Duration(p.StoreAgeMillis) * time.Millisecond)
-	newer := p.StoreAgeMillis >= 0 && answered.After(health.Failing().Add(answerAgeMargin))
+	answeredAt := time.Now().Add(-time.Duration(p.StoreAgeMillis) * time.Millisecond)
+	newer := p.StoreAgeMillis >= 0 && answeredAt.After(health.Failing().Add(answerAgeMargin))
 	switch {
 	case !newer && (t.storeAnsweredOther(health.Failing()) || health.Limited()):
 		return storeReachable
@@ -101,37 +101,37 @@
 	return storeReachable
 }
 
-// storeAnsweredOther reports whether the lead has heard since a time that the store answers another entry.
+// storeAnsweredOther reports whether an entry has reported an answer from the store since a time.
 func (t *term) storeAnsweredOther(since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.otherAnsweredAt.After(since)
 }
 
-// outranks reports whether an entry would lead much better: it is far stronger, and the term has stood long enough for the agents to have
+// outranks reports whether an entry should replace this leader because it is much stronger. The term must be old enough for the agents to have
 // reported.
 func (t *term) outranks(p link.Ping) bool {
 	return p.Strength >= outrankFactor*t.dispatcher.config.Strength && time.Since(t.startedAt) > outrankTermAge
 }
 
-// storeAnsweredRecently reports whether the store has just answered an entry.
+// storeAnsweredRecently reports whether the store has answered an entry within outrankAnswerAge.
 func storeAnsweredRecently(p link.Ping) bool {
 	return p.StoreAgeMillis >= 0 && p.StoreAgeMillis < outrankAnswerAge.Milliseconds()
 }
 
-// yield ends the term, since another entry takes over.
+// yield makes the leader step down for another entry.
 func (t *term) yield(entry, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
 	case <-t.yielded:
 	default:
-		t.logger.Warn("the lead yields; epoch=%d to=%s reason=%s", t.epoch, entry, reason)
+		t.logger.Warn("the leader steps down; epoch=%d to=%s reason=%s", t.epoch, entry, reason)
 		close(t.yielded)
 	}
 }
 
-// awaitYield ends the term once it has yielded; its agents are let go at once.
+// awaitYield ends the term and closes the sessions of its agents as soon as the leader steps down.
 func (t *term) awaitYield(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	// agentLease is how long an agent may go on after a report: long enough for another lead to take over.
+	// agentLease is how long an agent may go on after a report: long enough for another leader to take over.
 	agentLease = 5 * time.Second
-	// leaderTimeout is how long after the last proof that it leads a lead still permits anything; a new lead waits as long for
+	// leaderTimeout is how long after it last verified its leadership a leader still grants agent leases; a new leader waits as long for
 	// workers that have not reported to it.
 	leaderTimeout = 10 * time.Second
-	// agentLeaseMargin covers the way of messages and the rates of clocks when the end of a permission is reckoned.
+	// agentLeaseMargin covers message delays and the drift of clocks in the computed end of an agent lease.
 	agentLeaseMargin = 400 * time.Millisecond
-	// staleVerificationAfter is how old the proof may be before agents are told to look for another lead themselves.
+	// staleVerificationAfter is how old the last verification may be before agents are asked to search for another leader themselves.
 	staleVerificationAfter = 1500 * time.Millisecond
-	// verifyInterval is how often a lead without commits proves that it leads.
+	// verifyInterval is how often a leader without commits verifies its leadership.
 	verifyInterval = 500 * time.Millisecond
-	// commitDelay is how long changes are gathered for one commit: little beside the quarter second that a lookup has, and long
-	// enough that most ends of a step share one call to the store.
+	// commitDelay is how long changes are collected for one commit: short compared with the 250 ms budget of a lookup, and long enough that
+	// most ends of a step share one call to the store.
 	commitDelay = 15 * time.Millisecond
-	// planPauseFactor times the time that a plan took is the least time before the next: on a VM that is slow or short of
-	// processor time the lead has to answer reports too.
+	// planPauseFactor times the duration of a plan is the least time between its start and the next plan: on a VM that is slow or short of
+	// processor time the leader must also answer reports.
 	planPauseFactor = 2
-	// maxPlanInterval is the longest time between two plans, for what falls due by time alone.
+	// maxPlanInterval is the longest time between two plans, so that expired timeouts are handled without another change.
 	maxPlanInterval = 100 * time.Millisecond
-	// endedJobRetention is how long jobs that ended are known; the platform asks for two minutes.
+	// endedJobRetention is how long ended jobs are kept; the platform requires two minutes.
 	endedJobRetention = 150 * time.Second
 )
 
-// term is the time in which a process leads under one epoch.
+// term is the time in which a process is the leader of one epoch, with the state that it leads by.
 type term struct {
 	dispatcher     *Dispatcher
 	epoch          uint64
@@ -54,45 +54,45 @@
 	wake           chan struct{}
 	done           chan struct{}
 	inputsRevision kv.Revision
-	// adviceMu keeps calls for advice one after the other; it is taken before mu.
+	// adviceMu serializes calls to the advisor; it is locked before mu.
 	adviceMu       sync.Mutex
 	commitTimeouts *wait.Timeout
 	closures       *hall.Closures
-	// storeAnswered wakes what waits for the store, since it answers another entry.
+	// storeAnswered notifies a commit that waits to be retried that the store answers another entry.
 	storeAnswered chan struct{}
-	// yielded is closed once another entry is asked to lead.
+	// yielded is closed once another entry is asked to take over.
 	yielded chan struct{}
-	// notifiedStoreDown says that the entries were told that the store is away; only the committing goroutine uses it.
+	// notifiedStoreDown reports whether the entries were notified that the store is unavailable; only the committing goroutine uses it.
 	notifiedStoreDown bool
 
-	// mu guards the lease and all below; no answer is waited for while it is held.
+	// mu guards the lease and all fields below; it is not held while waiting for an answer.
 	mu            sync.Mutex
 	chainRevision kv.Revision
 	commitCount   uint64
-	// verifiedAt is when the lead last asked for what proved that it leads.
+	// verifiedAt is when the leader sent the last request whose answer confirmed its leadership.
 	verifiedAt boottime.Instant
 	jobs       map[job.ID]*trackedJob
 	hosts      *hostSet
 	agents     map[string]*agent
-	// fenceGrants counts the connections of agents to which fences were fenceGrants.
+	// fenceGrants counts the connections of agents to which fencing tokens were granted.
 	fenceGrants uint64
 	roster      *roster
-	// dirty are the jobs to commit, by the order in which they changed; changes counts them.
+	// dirty has the jobs to commit with the sequence number of their change, changeCount is the last sequence number.
 	dirty       map[job.ID]uint64
 	changeCount uint64
 	advice      map[stepID]*advice
 	pressure    *pressure.Model
-	// learnedSavedAt is when what was learnedSavedAt was last stored, loadLogged when the load was last logged.
+	// learnedSavedAt is when the interference model was last saved, loadLoggedAt when the load was last logged.
 	learnedSavedAt time.Time
 	loadLoggedAt   time.Time
-	// closuresUnconfirmed says that nothing is placed, since halls may be closed that the lead does not know of.
+	// closuresUnconfirmed reports whether placement is paused because halls may have been closed without the leader's knowledge.
 	closuresUnconfirmed bool
 	leaseReplaced       bool
 	backlog             batchBacklog
-	// unreachable are the incarnations whose leases have lapsed out of reach, late the starts that may be carried out late.
+	// unreachable are the incarnations whose leases expired while they were unreachable, lateStarts are the late starts.
 	unreachable map[job.Host]unreachable
 	lateStarts  host.LateCalls[lateStart]
-	// otherAnsweredAt is when the lead last heard that the store answers an entry, though not the lead.
+	// otherAnsweredAt is when an entry last reported an answer from the store while the store did not answer the leader.
 	otherAnsweredAt time.Time
 	committed       chan struct{}
 }
@@ -111,13 +111,13 @@
 	}
 }
 
-// load reads all jobs and how far they are; nothing of them changes any more but by this term.
+// load reads all jobs and their progress from the store; from then on only this term changes the progress.
 func (t *term) load(ctx context.Context) error {
 	if err := t.closures.Load(ctx); err != nil {
 		return err
 	}
 	t.loadModel(ctx)
-	inputs, at, err := t.store.Range(ctx, record.InputPrefix)
+	inputs, revision, err := t.store.Range(ctx, record.InputPrefix)
 	if err != nil {
 		return err
 	}
@@ -127,58 +127,58 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.inputsRevision = at
-	for _, i := range inputs {
-		t.addJob(i)
+	t.inputsRevision = revision
+	for _, item := range inputs {
+		t.addJob(item)
 	}
-	for _, i := range progress {
-		t.loadProgress(i)
+	for _, item := range progress {
+		t.loadProgress(item)
 	}
-	for _, i := range inputs {
-		t.applyCancel(i)
+	for _, item := range inputs {
+		t.applyCancel(item)
 	}
 	return nil
 }
 
-func (t *term) loadProgress(i kv.Item) {
-	id, _ := record.ParseProgressKey(i.Key())
-	known, ok := t.jobs[id]
+func (t *term) loadProgress(item kv.Item) {
+	id, _ := record.ParseProgressKey(item.Key())
+	tracked, ok := t.jobs[id]
 	if !ok {
-		t.logger.Error("the progress of a job without its record is left; job=%s", id)
+		t.logger.Error("the progress of a job that has no record is ignored; job=%s", id)
 		return
 	}
-	if err := known.job.ApplyProgress(i.Value()); err != nil {
-		// What has run of it is not known, so nothing of it may run again; all other jobs go on.
-		t.logger.Error("the progress of a job cannot be read, and the job is left as it is; job=%s reason=%v", id, err)
+	if err := tracked.job.ApplyProgress(item.Value()); err != nil {
+		// Without its progress it is unknown which tasks have run, so none may run again; all other jobs continue.
+		t.logger.Error("the progress of a job cannot be read; the job is ignored and left unchanged in the store; job=%s reason=%v", id, err)
 		delete(t.jobs, id)
 		return
 	}
-	known.job.Each(func(id job.TaskID, task *job.Task) {
+	tracked.job.Each(func(id job.TaskID, task *job.Task) {
 		if task.Phase() == job.Placed {
-			t.ensureHost(task.Host()).addRun(id, &known.job.Spec().Steps[id.Step], task.Run())
-			t.hosts.get(task.Host()).runs[id].stopping = known.job.State().IsFinal()
+			t.ensureHost(task.Host()).addRun(id, &tracked.job.Spec().Steps[id.Step], task.Run())
+			t.hosts.get(task.Host()).runs[id].stopping = tracked.job.State().IsFinal()
 		}
 	})
-	if known.job.State().IsFinal() {
-		known.endedAt = time.Now()
+	if tracked.job.State().IsFinal() {
+		tracked.endedAt = time.Now()
 	}
 }
 
-// run reads all jobs, says that it has, and leads until ctx ends or another leads. The lease is renewed from the start: on a
-// thin link the jobs of some minutes take longer to read than a lease lasts.
+// run loads all jobs, calls loaded, and leads until ctx ends or another entry leads. It renews the lease from the start: over a slow link the
+// jobs of a few minutes take longer to read than a lease lasts.
 func (t *term) run(ctx context.Context, loaded func()) error {
-	group, bounded := errgroup.WithContext(ctx)
-	group.Go(func() error { return t.renewLease(bounded) })
-	group.Go(func() error { return t.awaitYield(bounded) })
+	group, groupCtx := errgroup.WithContext(ctx)
+	group.Go(func() error { return t.renewLease(groupCtx) })
+	group.Go(func() error { return t.awaitYield(groupCtx) })
 	group.Go(func() error {
-		if err := t.load(bounded); err != nil {
+		if err := t.load(groupCtx); err != nil {
 			t.dispatcher.backoffUntil.Store(time.Now().Add(noReportsCooldown).UnixMilli())
 			return fault.Wrap(err, fault.Leaving, "the jobs cannot be read")
 		}
 		loaded()
-		group.Go(func() error { return t.watchInputs(bounded) })
-		group.Go(func() error { return t.watchClosures(bounded) })
-		return t.planAndCommit(bounded)
+		group.Go(func() error { return t.watchInputs(groupCtx) })
+		group.Go(func() error { return t.watchClosures(groupCtx) })
+		return t.planAndCommit(groupCtx)
 	})
 	return group.Wait()
 }
@@ -189,7 +189,7 @@
 	t.closeSessions()
 }
 
-// closeSessions lets the agents go, which then look for another lead.
+// closeSessions closes the sessions of all agents, which then search for another leader.
 func (t *term) closeSessions() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,17 +200,17 @@
 	}
 }
 
-// now returns the instant by which permissions are given.
+// now returns the instant on the clock by which agent leases are granted.
 func (t *term) now() boottime.Instant { return t.dispatcher.config.Uptime.Now() }
 
-// verificationAge returns how old the last proof is that the term leads; a lead that was suspended has to prove it anew before it permits
-// anything.
+// verificationAge returns the time since the leadership was last verified. It includes the time while the VM was suspended, so a resumed leader
+// must verify its leadership before it grants agent leases.
 func (t *term) verificationAge() time.Duration { return t.now().Sub(t.verifiedAt) }
 
 func (t *term) wakeUp() { wait.Notify(t.wake) }
 
-// planAndCommit plans and commits whenever something changed. Under load there is always something to commit: a plan waits for one
-// commit at the most, and what it places goes out with the next.
+// planAndCommit plans and commits whenever something has changed. Under load there is always something to commit: a plan waits for at most one
+// commit, and its placements are part of the next.
 func (t *term) planAndCommit(ctx context.Context) error {
 	ticker := time.NewTicker(maxPlanInterval)
 	defer ticker.Stop()
@@ -222,9 +222,9 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if began := time.Now(); !began.Before(next) {
+		if started := time.Now(); !started.Before(next) {
 			t.schedule()
-			next = time.Now().Add(min(planPauseFactor*time.Since(began), maxPlanInterval))
+			next = time.Now().Add(min(planPauseFactor*time.Since(started), maxPlanInterval))
 		}
 		if err := t.commitChanges(ctx); err != nil {
 			return err
@@ -232,13 +232,12 @@
 	}
 }
 
-// awaitChange waits until something changed and a while more, in which what changes with it is gathered, and at least until a
-// time; or for a tick.
-func (t *term) awaitChange(ctx context.Context, ticks <-chan time.Time, least time.Time) {
+// awaitChange waits for a change, then for commitDelay to collect further changes and at least until earliest; or it waits for a tick.
+func (t *term) awaitChange(ctx context.Context, ticks <-chan time.Time, earliest time.Time) {
 	select {
 	case <-ctx.Done():
 	case <-t.wake:
-		wait.For(ctx, max(commitDelay, time.Until(least)))
+		wait.For(ctx, max(commitDelay, time.Until(earliest)))
 	case <-ticks:
 	}
 }
@@ -247,8 +246,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
-	for _, known := range t.jobs {
-		if known.job.Queue().Name == queue && known.job.State() == job.Queued {
+	for _, tracked := range t.jobs {
+		if tracked.job.Queue().Name == queue && tracked.job.State() == job.Queued {
 			count++
 		}
 	}
--- a/internal/dispatch/tracked.go
+++ b/internal/dispatch/tracked.go
@@ -6,28 +6,28 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// trackedJob is a job with what the lead notes of it.
+// trackedJob is a job with the leader's records of it.
 type trackedJob struct {
 	job *job.Job
-	// acceptedAt is when the job was accepted, by the lead's own clock.
+	// acceptedAt is when the job was accepted, by the leader's own clock.
 	acceptedAt time.Time
 	endedAt    time.Time
-	// idleSince is since when nothing of the job runs, zero while something does.
+	// idleSince is when the last placed task of the job ended, zero while a task is placed.
 	idleSince time.Time
-	// version counts the changes, saved is the version that the store has.
+	// version counts the changes, savedVersion is the last version committed to the store.
 	version      uint64
 	savedVersion uint64
-	// unsavedCheckpoints says that tasks have checkpoints which the store does not have, written is when the job was last put into a batch.
+	// unsavedCheckpoints reports whether tasks have checkpoints that are not in the store, batchedAt is when the job was last added to a batch.
 	unsavedCheckpoints bool
 	batchedAt          time.Time
 	failedHosts        map[job.Host]bool
-	// suspectedSince are the tasks that wait to start alone, with since when.
+	// suspectedSince has the tasks that wait to start alone on a worker, with the start of the wait.
 	suspectedSince map[job.TaskID]time.Time
-	// backoffs hold back tasks whose runs end quickly.
+	// backoffs delay the restart of tasks whose runs end quickly.
 	backoffs map[job.TaskID]backoff
 }
 
-// updateIdle takes note of since when nothing of the job runs.
+// updateIdle records since when no task of the job is placed.
 func (k *trackedJob) updateIdle(now time.Time) {
 	placed := false
 	k.job.Each(func(_ job.TaskID, task *job.Task) { placed = placed || task.Phase() == job.Placed })
