--- a/internal/dispatch/clustermodel_property_test.go
+++ b/internal/dispatch/clustermodel_property_test.go
@@ -14,128 +14,128 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// drawTrouble makes some commits fail in each way, but never too many in a row.
-func (w *clusterModel) drawTrouble() kvtest.Trouble {
-	if w.consecutiveTroubles > 2 || rapid.IntRange(0, 3).Draw(w.t, "trouble") > 0 {
-		w.consecutiveTroubles = 0
+// drawTrouble lets a commit fail in a random way, at most three times in a row.
+func (m *clusterModel) drawTrouble() kvtest.Trouble {
+	if m.consecutiveTroubles > 2 || rapid.IntRange(0, 3).Draw(m.t, "trouble") > 0 {
+		m.consecutiveTroubles = 0
 		return kvtest.None
 	}
-	w.consecutiveTroubles++
-	return rapid.SampledFrom([]kvtest.Trouble{kvtest.Refused, kvtest.Lost, kvtest.Late, kvtest.Unsent}).Draw(w.t, "how")
+	m.consecutiveTroubles++
+	return rapid.SampledFrom([]kvtest.Trouble{kvtest.Refused, kvtest.Lost, kvtest.Late, kvtest.Unsent}).Draw(m.t, "how")
 }
 
-func (w *clusterModel) performAction() {
-	a := rapid.SampledFrom(w.agents).Draw(w.t, "agent")
-	switch rapid.IntRange(0, 16).Draw(w.t, "act") {
+func (m *clusterModel) performAction() {
+	a := rapid.SampledFrom(m.agents).Draw(m.t, "agent")
+	switch rapid.IntRange(0, 16).Draw(m.t, "act") {
 	case 0, 1:
-		w.submit()
+		m.submit()
 	case 2:
-		w.cancelRandomJob()
+		m.cancelRandomJob()
 	case 3:
-		w.runLeader(w.currentTerm())
+		m.runLeader(m.currentTerm())
 	case 4:
-		w.runLeader(rapid.SampledFrom(w.terms).Draw(w.t, "lead"))
+		m.runLeader(rapid.SampledFrom(m.terms).Draw(m.t, "leader"))
 	case 5, 6, 7:
-		w.report(a, w.currentTerm())
+		m.report(a, m.currentTerm())
 	case 8:
-		w.report(a, rapid.SampledFrom(w.terms).Draw(w.t, "lead"))
+		m.report(a, rapid.SampledFrom(m.terms).Draw(m.t, "leader"))
 	case 9, 10, 11:
-		w.deliverOrders(a)
+		m.deliverOrders(a)
 	case 12:
-		w.finishRandomRun(a)
+		m.finishRandomRun(a)
 	case 13:
-		w.store.Catch()
-		time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(w.t, "ms")) * time.Millisecond)
+		m.store.Catch()
+		time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(m.t, "ms")) * time.Millisecond)
 	case 14:
-		switch rapid.IntRange(0, 5).Draw(w.t, "starts again") {
+		switch rapid.IntRange(0, 5).Draw(m.t, "restart") {
 		case 0:
-			a.replaceWorker(rapid.Bool().Draw(w.t, "reports its birth"))
+			a.replaceWorker(rapid.Bool().Draw(m.t, "reports start time"))
 		case 1, 2:
-			a.restartWorker(rapid.Bool().Draw(w.t, "clock steps back"))
+			a.restartWorker(rapid.Bool().Draw(m.t, "clock steps back"))
 		}
 	case 15:
-		if rapid.IntRange(0, 2).Draw(w.t, "elects") == 0 {
-			w.electLeader()
+		if rapid.IntRange(0, 2).Draw(m.t, "elects") == 0 {
+			m.electLeader()
 		}
 	case 16:
-		w.toggleHall(rapid.SampledFrom(testHalls).Draw(w.t, "hall"))
+		m.toggleHall(rapid.SampledFrom(testHalls).Draw(m.t, "hall"))
 	}
 }
 
-// runToCompletion lets everything work until all jobs that can end have ended.
-func (w *clusterModel) runToCompletion() {
-	for _, hall := range sortedKeys(w.closedSince) {
-		w.toggleHall(hall)
+// runToCompletion opens all halls, stops the faults of the store, cancels long-running jobs and runs the cluster until all jobs have ended.
+func (m *clusterModel) runToCompletion() {
+	for _, hall := range sortedKeys(m.closedSince) {
+		m.toggleHall(hall)
 	}
-	w.store.SetTrouble(nil)
-	w.store.Catch()
-	for _, id := range slices.Sorted(maps.Keys(w.specs)) {
-		if w.hasLastingStep(id) {
-			w.cancelJob(id)
+	m.store.SetTrouble(nil)
+	m.store.Catch()
+	for _, id := range slices.Sorted(maps.Keys(m.specs)) {
+		if m.hasLastingStep(id) {
+			m.cancelJob(id)
 		}
 	}
 	const rounds = 120
 	for range rounds {
 		time.Sleep(700 * time.Millisecond)
-		for _, a := range w.agents {
-			w.report(a, w.currentTerm())
+		for _, a := range m.agents {
+			m.report(a, m.currentTerm())
 			for len(a.pendingOrders) > 0 {
-				w.deliverOrders(a)
+				m.deliverOrders(a)
 			}
 		}
-		for _, a := range w.agents {
-			w.finishRandomRun(a)
+		for _, a := range m.agents {
+			m.finishRandomRun(a)
 		}
-		w.runLeader(w.currentTerm())
-		if w.allJobsEnded() {
+		m.runLeader(m.currentTerm())
+		if m.allJobsEnded() {
 			return
 		}
 	}
-	for _, id := range w.jobIDs {
-		w.t.Logf("%s: %s", id, w.currentTerm().jobs[id].job.State())
+	for _, id := range m.jobIDs {
+		m.t.Logf("%s: %s", id, m.currentTerm().jobs[id].job.State())
 	}
-	w.t.Fatal("jobs that can end do not end")
+	m.t.Fatal("jobs do not end though the store works, all halls are open and no job is long-running")
 }
 
-func (w *clusterModel) allJobsEnded() bool {
-	for _, id := range w.jobIDs {
-		known := w.currentTerm().jobs[id]
-		if known == nil {
-			w.t.Fatalf("%s was accepted and is not known", id)
+func (m *clusterModel) allJobsEnded() bool {
+	for _, id := range m.jobIDs {
+		tracked := m.currentTerm().jobs[id]
+		if tracked == nil {
+			m.t.Fatalf("%s was accepted and is unknown to the leader", id)
 		}
-		if !known.job.State().IsFinal() {
+		if !tracked.job.State().IsFinal() {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *clusterModel) hasLastingStep(id job.ID) bool {
-	return slices.ContainsFunc(w.specs[id].Steps, func(s job.Step) bool { return s.LongRunning })
+func (m *clusterModel) hasLastingStep(id job.ID) bool {
+	return slices.ContainsFunc(m.specs[id].Steps, func(s job.Step) bool { return s.LongRunning })
 }
 
-// TestClusterModel draws interleavings of leads, agents, workers and the store, and judges by what the workers saw.
+// TestClusterModel runs random interleavings of leaders, agents, workers and the store, and checks the starts that the workers receive.
 func TestClusterModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inFakeTime(t, func() {
-			w := newClusterModel(rt)
-			w.store.SetTrouble(w.drawTrouble)
+			m := newClusterModel(rt)
+			m.store.SetTrouble(m.drawTrouble)
 			for range rapid.IntRange(20, 120).Draw(rt, "acts") {
-				w.performAction()
+				m.performAction()
 			}
-			w.runToCompletion()
+			m.runToCompletion()
 		})
 	})
 }
 
-// inFakeTime runs a property in fake time and hands its panic, by which rapid fails, to the caller.
+// inFakeTime runs a property in fake time and passes its panic, by which rapid reports failures, to the caller.
 func inFakeTime(t *testing.T, property func()) {
 	var failed any
 	synctest.Test(t, func(*testing.T) {
 		defer func() { failed = recover() }()
 		property()
 	})
-	// Two places to panic at, since rapid tells failures apart by where they come from.
+	// The panics are on two lines since rapid distinguishes failures by their location.
 	if fmt.Sprintf("%T", failed) == "rapid.invalidData" {
 		panic(failed)
 	}
--- a/internal/dispatch/clustermodel_test.go
+++ b/internal/dispatch/clustermodel_test.go
@@ -16,7 +16,7 @@
 
 const testService = "desk"
 
-// clusterModel is a store, leads of which only the latest is right, agents and workers.
+// clusterModel has a store, leaders of which only the last is valid, agents and workers.
 type clusterModel struct {
 	t                   *rapid.T
 	ctx                 context.Context
@@ -29,7 +29,7 @@
 	acknowledgedTasks   map[string]bool
 	failureCounts       map[string]int
 	consecutiveTroubles int
-	// closedSince is since when each closedSince hall is.
+	// closedSince has since when each closed hall is closed.
 	closedSince map[string]time.Time
 }
 
@@ -40,7 +40,7 @@
 var testCapacity = job.Size{CPU: 4000, Memory: 8000}
 
 func newClusterModel(t *rapid.T) *clusterModel {
-	w := &clusterModel{
+	m := &clusterModel{
 		t: t, ctx: context.Background(), store: kvtest.New(), specs: make(map[job.ID]job.Spec),
 		completedTasks: make(map[string]bool), acknowledgedTasks: make(map[string]bool), failureCounts: make(map[string]int),
 		closedSince: make(map[string]time.Time),
@@ -48,33 +48,33 @@
 	for i := range 3 {
 		a := &fakeAgent{vm: fmt.Sprintf("vm%d", i), hall: testHalls[i%len(testHalls)]}
 		a.replaceWorker(i > 0)
-		w.agents = append(w.agents, a)
+		m.agents = append(m.agents, a)
 	}
-	for len(w.terms) == 0 {
-		w.electLeader()
+	for len(m.terms) == 0 {
+		m.electLeader()
 	}
-	return w
+	return m
 }
 
-// electLeader takes the lead away, which no request shows, and lets another process win it.
-func (w *clusterModel) electLeader() {
-	w.store.Revoke()
-	name := fmt.Sprintf("entry%d", len(w.terms))
-	t, err := newTestEntry(name, w.store).tryAcquire(w.ctx)
-	if err != nil || t.load(w.ctx) != nil {
+// electLeader revokes the lease of the leader, which no request reports to it, and lets another process take over.
+func (m *clusterModel) electLeader() {
+	m.store.Revoke()
+	name := fmt.Sprintf("entry%d", len(m.terms))
+	t, err := newTestEntry(name, m.store).tryAcquire(m.ctx)
+	if err != nil || t.load(m.ctx) != nil {
 		return
 	}
-	w.terms = append(w.terms, t)
+	m.terms = append(m.terms, t)
 }
 
-func (w *clusterModel) currentTerm() *term { return w.terms[len(w.terms)-1] }
+func (m *clusterModel) currentTerm() *term { return m.terms[len(m.terms)-1] }
 
-// submit hands a job in.
-func (w *clusterModel) submit() {
-	id := job.ID(fmt.Sprintf("%016x", len(w.specs)+1))
-	steps := []job.Step{w.drawStep()}
-	if rapid.Bool().Draw(w.t, "two steps") {
-		second := w.drawStep()
+// submit submits a random job of one or two steps.
+func (m *clusterModel) submit() {
+	id := job.ID(fmt.Sprintf("%016x", len(m.specs)+1))
+	steps := []job.Step{m.drawStep()}
+	if rapid.Bool().Draw(m.t, "two steps") {
+		second := m.drawStep()
 		second.DependsOn = []int{0}
 		second.LongRunning = false
 		if !steps[0].LongRunning {
@@ -84,23 +84,23 @@
 	spec := job.Spec{Text: "x", Steps: steps}
 	value, err := job.Encode(spec, job.Queue{Name: "q", Service: testService, Attempts: testAttempts, Stretch: 2}, time.Now())
 	if err != nil {
-		w.t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	change := kv.Txn{
+	txn := kv.Txn{
 		Conditions: []kv.Condition{{Key: record.JobKey(id)}}, Puts: []kv.Put{{Key: record.JobKey(id), Value: value}},
 	}
-	w.specs[id] = spec
-	if _, err := w.store.Commit(w.ctx, change); err == nil {
-		w.jobIDs = append(w.jobIDs, id)
+	m.specs[id] = spec
+	if _, err := m.store.Commit(m.ctx, txn); err == nil {
+		m.jobIDs = append(m.jobIDs, id)
 	}
 }
 
-func (w *clusterModel) drawStep() job.Step {
+func (m *clusterModel) drawStep() job.Step {
 	step := job.Step{
-		Count: rapid.IntRange(1, 3).Draw(w.t, "count"), Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: time.Second,
+		Count: rapid.IntRange(1, 3).Draw(m.t, "count"), Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: time.Second,
 		Checkpoints: true, Image: "i",
 	}
-	switch rapid.IntRange(0, 4).Draw(w.t, "kind of step") {
+	switch rapid.IntRange(0, 4).Draw(m.t, "kind of step") {
 	case 0:
 		step.LongRunning = true
 	case 1:
@@ -112,47 +112,47 @@
 	return step
 }
 
-func (w *clusterModel) cancelRandomJob() {
-	if len(w.jobIDs) > 0 {
-		w.cancelJob(rapid.SampledFrom(w.jobIDs).Draw(w.t, "canceled"))
+func (m *clusterModel) cancelRandomJob() {
+	if len(m.jobIDs) > 0 {
+		m.cancelJob(rapid.SampledFrom(m.jobIDs).Draw(m.t, "canceled"))
 	}
 }
 
-func (w *clusterModel) cancelJob(id job.ID) {
-	_, _ = w.store.Commit(w.ctx, kv.Txn{
+func (m *clusterModel) cancelJob(id job.ID) {
+	_, _ = m.store.Commit(m.ctx, kv.Txn{
 		Conditions: []kv.Condition{{Key: record.CancelKey(id)}}, Puts: []kv.Put{{Key: record.CancelKey(id), Value: []byte{1}}},
 	})
 }
 
-// toggleHall closes a hall as the operators do, or opens it again.
-func (w *clusterModel) toggleHall(hall string) {
-	_, closed := w.closedSince[hall]
-	change := kv.Txn{Puts: []kv.Put{{Key: testClosures + hall, Value: []byte("odd")}}}
+// toggleHall closes a hall as an operator does, or opens it again.
+func (m *clusterModel) toggleHall(hall string) {
+	_, closed := m.closedSince[hall]
+	txn := kv.Txn{Puts: []kv.Put{{Key: testClosures + hall, Value: []byte("odd")}}}
 	if closed {
-		change = kv.Txn{Removes: []string{testClosures + hall}}
+		txn = kv.Txn{Removes: []string{testClosures + hall}}
 	}
-	if err := w.store.Operate(change); err != nil {
-		w.t.Fatal(err)
+	if err := m.store.Operate(txn); err != nil {
+		m.t.Fatal(err)
 	}
 	if closed {
-		delete(w.closedSince, hall)
+		delete(m.closedSince, hall)
 		return
 	}
-	w.closedSince[hall] = time.Now()
+	m.closedSince[hall] = time.Now()
 }
 
-// runLeader lets one of the leads work; those of the past find out by the store.
-func (w *clusterModel) runLeader(t *term) {
-	if err := t.closures.Load(w.ctx); err != nil {
-		w.t.Fatal(err)
+// runLeader runs a cycle of a leader; a replaced leader detects its replacement by the store.
+func (m *clusterModel) runLeader(t *term) {
+	if err := t.closures.Load(m.ctx); err != nil {
+		m.t.Fatal(err)
 	}
-	if _, err := t.inputsFollower().Next(w.ctx, 0); err != nil {
-		w.t.Fatal(err)
+	if _, err := t.inputsFollower().Next(m.ctx, 0); err != nil {
+		m.t.Fatal(err)
 	}
-	if err := cycle(w.ctx, t); err != nil && t == w.currentTerm() {
-		// An election that seemed to fail was done late; its winner does not know and stands again.
-		for latest := t; latest == w.currentTerm(); {
-			w.electLeader()
+	if err := cycle(m.ctx, t); err != nil && t == m.currentTerm() {
+		// An election that seemed to fail was committed late. Its winner got an error and campaigns again.
+		for latest := t; latest == m.currentTerm(); {
+			m.electLeader()
 		}
 	}
 	synctest.Wait()
--- a/internal/dispatch/clustermodel_workers_test.go
+++ b/internal/dispatch/clustermodel_workers_test.go
@@ -11,8 +11,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// follow binds an agent to a lead, unless it has followed a later one.
-func (w *clusterModel) follow(a *fakeAgent, t *term) bool {
+// follow connects an agent to a leader, unless it has followed one of a later epoch.
+func (m *clusterModel) follow(a *fakeAgent, t *term) bool {
 	if t.epoch < a.epoch {
 		return false
 	}
@@ -25,9 +25,9 @@
 	return true
 }
 
-// report tells a lead what the worker has and takes the permission.
-func (w *clusterModel) report(a *fakeAgent, t *term) {
-	if !w.follow(a, t) {
+// report reports the state of a worker to a leader and applies the answer.
+func (m *clusterModel) report(a *fakeAgent, t *term) {
+	if !m.follow(a, t) {
 		return
 	}
 	a.detectWorker()
@@ -64,24 +64,24 @@
 		answer, err = t.report(fakeSession{a}, r)
 	}()
 	synctest.Wait()
-	if t == w.currentTerm() {
-		w.runLeader(t)
+	if t == m.currentTerm() {
+		m.runLeader(t)
 	}
 	<-answered
-	// The orders that the lead sends meanwhile are on a way of their own, so that the answer comes before or after them.
+	// The orders that the leader sends meanwhile use another connection, so the answer may arrive before or after them.
 	synctest.Wait()
-	var later []link.Orders
-	if rapid.Bool().Draw(w.t, "answer before orders") {
-		later = slices.Clone(a.pendingOrders[before:])
+	var delayed []link.Orders
+	if rapid.Bool().Draw(m.t, "answer before orders") {
+		delayed = slices.Clone(a.pendingOrders[before:])
 		a.pendingOrders = a.pendingOrders[:before]
 	}
 	if err == nil {
-		w.applyAnswer(a, r, answer, sent)
+		m.applyAnswer(a, r, answer, sent)
 	}
-	a.pendingOrders = append(a.pendingOrders, later...)
+	a.pendingOrders = append(a.pendingOrders, delayed...)
 }
 
-func (w *clusterModel) applyAnswer(a *fakeAgent, r link.Report, answer link.ReportAnswer, sent time.Time) {
+func (m *clusterModel) applyAnswer(a *fakeAgent, r link.Report, answer link.ReportAnswer, sent time.Time) {
 	if sent.After(a.leaseEnd) && !a.leaseEnd.IsZero() {
 		a.dropOrders()
 	}
@@ -95,15 +95,15 @@
 	a.seen = max(a.seen, answer.AcknowledgedEnds)
 	a.worker.leaseEnd = a.leaseEnd
 	for _, e := range a.worker.ended {
-		// What ended before the worker's time was over may have been given up, by the platform's own reckoning.
+		// Ends before the last lease expiry of the worker may have been discarded by the platform's rules.
 		if e.Sequence <= a.worker.lapsed {
 			continue
 		}
 		if e.Sequence <= a.seen && job.End(e.End) == job.EndDone {
-			w.acknowledgedTasks[e.Task] = true
+			m.acknowledgedTasks[e.Task] = true
 		}
 		if e.Sequence <= a.seen && job.End(e.End) == job.EndFailed {
-			w.failureCounts[e.Task]++
+			m.failureCounts[e.Task]++
 		}
 	}
 	a.worker.ended = slices.DeleteFunc(a.worker.ended, func(e link.Ended) bool { return e.Sequence <= a.seen })
@@ -113,27 +113,27 @@
 	}
 }
 
-// deliverOrders carries out one letter of an agent's mail, not always the oldest.
-func (w *clusterModel) deliverOrders(a *fakeAgent) {
+// deliverOrders carries out one random message of the agent's pending orders, not always the oldest.
+func (m *clusterModel) deliverOrders(a *fakeAgent) {
 	if len(a.pendingOrders) == 0 {
 		return
 	}
-	n := rapid.IntRange(0, len(a.pendingOrders)-1).Draw(w.t, "letter")
-	orders := a.pendingOrders[n]
-	a.pendingOrders = slices.Delete(a.pendingOrders, n, n+1)
+	index := rapid.IntRange(0, len(a.pendingOrders)-1).Draw(m.t, "message")
+	orders := a.pendingOrders[index]
+	a.pendingOrders = slices.Delete(a.pendingOrders, index, index+1)
 	if orders.Epoch != a.epoch || orders.Incarnation() != a.known {
 		return
 	}
 	a.updateHall(orders.Hall, a.connectedAt)
 	for _, s := range orders.Starts {
-		w.start(a, s)
+		m.start(a, s)
 	}
 	for _, s := range orders.Stops {
 		a.stop(s)
 	}
 }
 
-func (w *clusterModel) start(a *fakeAgent, s link.Start) {
+func (m *clusterModel) start(a *fakeAgent, s link.Start) {
 	worker := a.worker
 	worker.expire()
 	if s.Number <= a.refusedRuns[s.Task] || a.listed[s.Run] {
@@ -154,85 +154,85 @@
 		}
 		return
 	}
-	w.checkStart(a, s)
+	m.checkStart(a, s)
 	id, _ := job.ParseTaskID(s.Task)
 	worker.latest[s.Task] = s.Number
-	worker.running[s.Task] = fakeRun{number: s.Number, until: a.leaseEnd, size: w.specs[id.Job].Steps[id.Step].Reservation()}
-	worker.checkCapacity(w.t)
+	worker.running[s.Task] = fakeRun{number: s.Number, until: a.leaseEnd, size: m.specs[id.Job].Steps[id.Step].Reservation()}
+	worker.checkCapacity(m.t)
 }
 
-// checkStart fails the test where a start must never happen.
-func (w *clusterModel) checkStart(a *fakeAgent, s link.Start) {
+// checkStart fails the test if a start must not happen.
+func (m *clusterModel) checkStart(a *fakeAgent, s link.Start) {
 	id, _ := job.ParseTaskID(s.Task)
-	spec, known := w.specs[id.Job]
+	spec, known := m.specs[id.Job]
 	if !known {
-		w.t.Fatalf("%s: started, but nobody handed it in", s.Task)
+		m.t.Fatalf("%s: started, but not submitted", s.Task)
 	}
-	if since, closed := w.closedSince[a.hall]; closed && time.Since(since) > testClosedWithin {
-		w.t.Fatalf("%s: run %d starts on %s in a hall that has been closed for %s", s.Task, s.Number, a.vm, time.Since(since))
+	if since, closed := m.closedSince[a.hall]; closed && time.Since(since) > testClosedWithin {
+		m.t.Fatalf("%s: run %d starts on %s in a hall that has been closed for %s", s.Task, s.Number, a.vm, time.Since(since))
 	}
 	step := spec.Steps[id.Step]
-	for _, other := range w.agents {
+	for _, other := range m.agents {
 		other.worker.expire()
 		if _, runs := other.worker.running[s.Task]; runs {
-			w.t.Fatalf("%s: run %d starts on %s while it runs on %s", s.Task, s.Number, a.vm, other.vm)
+			m.t.Fatalf("%s: run %d starts on %s while it runs on %s", s.Task, s.Number, a.vm, other.vm)
 		}
 	}
-	if w.acknowledgedTasks[s.Task] && !step.LongRunning {
-		w.t.Fatalf("%s: run %d starts after its end was taken note of", s.Task, s.Number)
+	if m.acknowledgedTasks[s.Task] && !step.LongRunning {
+		m.t.Fatalf("%s: run %d starts after the acknowledged end of the task", s.Task, s.Number)
 	}
-	if w.failureCounts[s.Task] >= testAttempts && !step.LongRunning && !step.Gang {
-		w.t.Fatalf("%s: run %d starts after %d failures", s.Task, s.Number, w.failureCounts[s.Task])
+	if m.failureCounts[s.Task] >= testAttempts && !step.LongRunning && !step.Gang {
+		m.t.Fatalf("%s: run %d starts after %d failures", s.Task, s.Number, m.failureCounts[s.Task])
 	}
 	for _, d := range step.DependsOn {
-		if !w.stepDone(id, d) {
-			w.t.Fatalf("%s: starts before step %d is done", s.Task, d)
+		if !m.stepDone(id, d) {
+			m.t.Fatalf("%s: starts before the end of step %d", s.Task, d)
 		}
 	}
 }
 
-func (w *clusterModel) stepDone(id job.TaskID, step int) bool {
-	spec := w.specs[id.Job].Steps[step]
+func (m *clusterModel) stepDone(id job.TaskID, step int) bool {
+	spec := m.specs[id.Job].Steps[step]
 	for i := range spec.Count {
 		name := job.TaskID{Job: id.Job, Step: step, Index: i}.String()
-		if w.completedTasks[name] == spec.Gang && spec.Gang {
+		if m.completedTasks[name] == spec.Gang && spec.Gang {
 			return true
 		}
-		if !spec.Gang && !w.completedTasks[name] {
+		if !spec.Gang && !m.completedTasks[name] {
 			return false
 		}
 	}
 	return !spec.Gang
 }
 
-// finishRandomRun ends a run of a worker by itself.
-func (w *clusterModel) finishRandomRun(a *fakeAgent) {
+// finishRandomRun ends a random run of a worker.
+func (m *clusterModel) finishRandomRun(a *fakeAgent) {
 	a.worker.expire()
 	names := sortedKeys(a.worker.running)
 	if len(names) == 0 {
 		return
 	}
-	name := rapid.SampledFrom(names).Draw(w.t, "ends")
+	name := rapid.SampledFrom(names).Draw(m.t, "ends")
 	id, _ := job.ParseTaskID(name)
-	step := w.specs[id.Job].Steps[id.Step]
+	step := m.specs[id.Job].Steps[id.Step]
 	end := job.EndDone
-	if step.LongRunning || rapid.IntRange(0, 5).Draw(w.t, "fails") == 0 {
+	if step.LongRunning || rapid.IntRange(0, 5).Draw(m.t, "fails") == 0 {
 		end = job.EndFailed
 	}
 	if step.Gang {
-		w.endGang(id, step.Count, end)
+		m.endGang(id, step.Count, end)
 		return
 	}
 	if end == job.EndDone {
-		w.completedTasks[name] = true
+		m.completedTasks[name] = true
 	}
 	a.worker.end(name, end)
 }
 
-// endGang ends all members of a gang together, and as alone where some are missing.
-func (w *clusterModel) endGang(id job.TaskID, count int, end job.End) {
+// endGang ends all members of a gang together, as job.EndGangIncomplete if some are missing.
+func (m *clusterModel) endGang(id job.TaskID, count int, end job.End) {
 	members := make(map[string]*fakeWorker)
-	for _, a := range w.agents {
+	for _, a := range m.agents {
 		a.worker.expire()
 		for name := range a.worker.running {
 			if member, _ := job.ParseTaskID(name); member.Job == id.Job && member.Step == id.Step {
@@ -247,13 +247,13 @@
 		return
 	}
 	for n, name := range sortedKeys(members) {
-		how := end
+		memberEnd := end
 		if n > 0 && end == job.EndFailed {
-			how = job.EndGangBroken
+			memberEnd = job.EndGangBroken
 		}
 		if end == job.EndDone {
-			w.completedTasks[name] = true
+			m.completedTasks[name] = true
 		}
-		members[name].end(name, how)
+		members[name].end(name, memberEnd)
 	}
 }
--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -15,31 +15,31 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// crashOutcome is what becomes of the word that a worker crashed under a task.
+// crashOutcome is which processes fail with a crashed worker, and thereby how its crash is reported to the leader.
 type crashOutcome int
 
 const (
-	// crashReported reaches the lead with the worker's next life.
+	// crashReported: the agent reports the crash with the worker's next incarnation.
 	crashReported crashOutcome = iota
-	// agentLost is the agent gone with its worker; the next agent reports the next life and knows of no other.
+	// agentLost: the agent fails with its worker; the next agent reports only the next incarnation.
 	agentLost
-	// leaderReplaced is the lead replaced before it commits what it was told; the agent tells the next one.
+	// leaderReplaced: the leader is replaced before it commits the crash; the agent reports it to the next leader.
 	leaderReplaced
-	// agentLostLeaderReplaced is the agent gone, and the lead replaced before it hears of the next life.
+	// agentLostLeaderReplaced: the agent fails with its worker, and the leader is replaced before the next incarnation is reported.
 	agentLostLeaderReplaced
-	// crashReportedLate is the agent held up until its permission is over and the task has crashed its next worker.
+	// crashReportedLate: the agent is delayed until its lease has expired and the task has crashed its next worker.
 	crashReportedLate
-	// vmLost is the VM gone for good.
+	// vmLost: the VM fails and does not return.
 	vmLost
 	crashOutcomes
 )
 
-func (f crashOutcome) String() string {
-	return [...]string{"told", "agent-killed", "lead-killed", "both-killed", "told-late", "vm-gone"}[f]
+func (o crashOutcome) String() string {
+	return [...]string{"reported", "agent-lost", "leader-replaced", "agent-lost-leader-replaced", "reported-late", "vm-lost"}[o]
 }
 
-// crashPattern is how a task crashes its workers: after which time, whether beside work that has just begun each time, and whether others
-// crash at the same moment each time.
+// crashPattern is how a task crashes its workers: after which runtime, whether beside a task that has just started each time, and whether other
+// workers crash at the same time.
 type crashPattern struct {
 	name                            string
 	runtime                         time.Duration
@@ -47,18 +47,18 @@
 }
 
 const (
-	// maxStarts is how often work that crashes its workers may start: the platform counts the third start after the third crash.
+	// maxStarts is how often a task that crashes its workers may start: the platform allows the third start after the third crash.
 	maxStarts = 5
-	// maxStartsUnseen is the same where nobody can know that its workers crashed: their VMs were gone for good, as by a cut.
+	// maxStartsUnseen is maxStarts for a task whose crashes cannot be observed: the VMs were lost, as by a network partition.
 	maxStartsUnseen = 8
-	// minKnownCrashes is how many workers must be known to have crashed under a task before its job may be given up.
+	// minKnownCrashes is how many crashes of its workers must be reported before the job of a task may be given up.
 	minKnownCrashes = 2
 )
 
-// longTaskReportInterval is how often the agent of a task that lives for long reports.
+// longTaskReportInterval is how often an agent reports while a task runs until it crashes its worker.
 const longTaskReportInterval = 600 * time.Millisecond
 
-// crashSequence is one order of deaths and of lost words while a task crashes each worker that starts it.
+// crashSequence is one sequence of crash outcomes while a task crashes each worker that starts it.
 type crashSequence struct {
 	*crashStorm
 	pattern     crashPattern
@@ -70,20 +70,18 @@
 	otherAgents [2]*fakeAgent
 }
 
-// TestStartsOfTaskThatCrashesWorkersAreBounded plays what the callers saw: a task was started again on each worker that it
-// had just crashed, since a crash counted only where its agent lived to tell it, where the lead had committed it before the next,
-// and where nothing else explained it.
+// TestStartsOfTaskThatCrashesWorkersAreBounded guards against a task that is started again on each worker that it has just crashed.
 //
-// Cause: the bound hung on a witness and on its word. An agent that died with its worker took the word along, and what a task had lived
-// for, or what had begun beside it, cleared it each time; nothing counted that its runs were lost with their workers, one after the
-// other. Evidence: on the code as it was, each of the seven ways came to a sixth start, four of them with every crash told.
+// This happened while a crash counted only if its agent survived to report it, the leader committed it before the next crash, and nothing else
+// explained it. An agent that failed with its worker never reported the crash, and the runtime of the task, or a task that had started beside
+// it, cleared the suspicion each time; runs lost with one worker after the other did not count. With that code each of the seven patterns
+// reached a sixth start, four of them with every crash reported.
 //
-// All orders of what may become of the word of each crash are played, each with work that takes 10 ms to 6 s to crash its worker, beside
-// work that begins all the time, or with other workers at the same moment. What follows from a state that another passage came to is
-// played once, or each time where ALL_PASSAGES is set.
+// The test runs all sequences of crash outcomes, with tasks that crash their worker after 10 ms to 6 s, beside tasks that start all the time, or
+// together with other workers. A state that another sequence has reached is continued only once, or each time if ALL_PASSAGES is set.
 func TestStartsOfTaskThatCrashesWorkersAreBounded(t *testing.T) {
-	every := os.Getenv("ALL_PASSAGES") != ""
-	for _, w := range []crashPattern{
+	all := os.Getenv("ALL_PASSAGES") != ""
+	for _, pattern := range []crashPattern{
 		{name: "at_once", runtime: 10 * time.Millisecond},
 		{name: "at_once_with_others", runtime: 10 * time.Millisecond, withOtherCrashes: true},
 		{name: "soon_beside_new_work", runtime: 300 * time.Millisecond, besideNewTask: true},
@@ -92,25 +90,25 @@
 		{name: "late_beside_new_work", runtime: 3 * time.Second, besideNewTask: true},
 		{name: "very_late", runtime: 6 * time.Second, besideNewTask: true},
 	} {
-		t.Run(w.name, func(t *testing.T) {
+		t.Run(pattern.name, func(t *testing.T) {
 			t.Parallel()
-			played, met := 0, make(map[string]bool)
-			if every {
-				met = nil
+			count, visited := 0, make(map[string]bool)
+			if all {
+				visited = nil
 			}
 			for choices, more := []crashOutcome(nil), true; more; choices, more = nextOutcomes(choices) {
-				synctest.Test(t, func(t *testing.T) { choices = runCrashSequence(t, w, choices, met) })
-				played++
+				synctest.Test(t, func(t *testing.T) { choices = runCrashSequence(t, pattern, choices, visited) })
+				count++
 				if t.Failed() {
 					break
 				}
 			}
-			t.Logf("%d passages", played)
+			t.Logf("%d crash sequences", count)
 		})
 	}
 }
 
-// nextOutcomes returns the next choices in order, as far as the last passage made any, false after the last.
+// nextOutcomes returns the choices that follow those of the last sequence in lexical order, false after the last.
 func nextOutcomes(choices []crashOutcome) ([]crashOutcome, bool) {
 	for len(choices) > 0 {
 		last := len(choices) - 1
@@ -122,190 +120,190 @@
 	return nil, false
 }
 
-// runCrashSequence plays a passage that begins with some fates, until it comes to a state that was met, and returns all that it chose.
-func runCrashSequence(t *testing.T, w crashPattern, choices []crashOutcome, met map[string]bool) []crashOutcome {
+// runCrashSequence runs a sequence that begins with some outcomes until the job ends or a visited state is reached, and returns all its outcomes.
+func runCrashSequence(t *testing.T, pattern crashPattern, choices []crashOutcome, visited map[string]bool) []crashOutcome {
 	t.Helper()
-	p := &crashSequence{crashStorm: newCrashStorm(t, 1, 0), pattern: w}
-	for i := range p.otherAgents {
-		p.otherAgents[i] = &fakeAgent{vm: fmt.Sprintf("strange%d", i)}
+	s := &crashSequence{crashStorm: newCrashStorm(t, 1, 0), pattern: pattern}
+	for i := range s.otherAgents {
+		s.otherAgents[i] = &fakeAgent{vm: fmt.Sprintf("strange%d", i)}
 	}
-	id := p.submitStep(job.Step{Count: 1, Size: job.Size{CPU: 500, Memory: 100}, Estimate: stormTaskTime, LongRunning: w.runtime > stormTaskTime})
-	p.task = link.NewRun(job.TaskID{Job: id}, 0)
-	here := p.newWorker()
+	id := s.submitStep(job.Step{Count: 1, Size: job.Size{CPU: 500, Memory: 100}, Estimate: stormTaskTime, LongRunning: pattern.runtime > stormTaskTime})
+	s.task = link.NewRun(job.TaskID{Job: id}, 0)
+	worker := s.newWorker()
 	for {
-		if !p.awaitStart(here) {
-			return p.outcomes
+		if !s.awaitStart(worker) {
+			return s.outcomes
 		}
-		p.startCount++
-		if p.startCount > p.allowedStarts() {
-			t.Errorf("%s: started %d times; %s", w.name, p.startCount, p)
-			return p.outcomes
+		s.startCount++
+		if s.startCount > s.allowedStarts() {
+			t.Errorf("%s: started %d times; %s", pattern.name, s.startCount, s)
+			return s.outcomes
 		}
-		p.runUntilCrash(here)
-		next := crashReported
-		if len(p.outcomes) < len(choices) {
-			next = choices[len(p.outcomes)]
+		s.runUntilCrash(worker)
+		outcome := crashReported
+		if len(s.outcomes) < len(choices) {
+			outcome = choices[len(s.outcomes)]
 		}
-		p.outcomes = append(p.outcomes, next)
-		here = p.crashAndReport(here, next)
-		if len(p.outcomes) < len(choices) {
+		s.outcomes = append(s.outcomes, outcome)
+		worker = s.crashAndReport(worker, outcome)
+		if len(s.outcomes) < len(choices) {
 			continue
 		}
-		state := p.stateKey()
-		if met[state] {
-			return p.outcomes
+		state := s.stateKey()
+		if visited[state] {
+			return s.outcomes
 		}
-		if met != nil {
-			met[state] = true
+		if visited != nil {
+			visited[state] = true
 		}
 	}
 }
 
-// stateKey tells apart what may follow: what is held against the task and what of that is still open.
-func (p *crashSequence) stateKey() string {
-	id, _ := p.task.TaskID()
-	j := p.leader.jobs[id.Job].job
-	return fmt.Sprint(p.startCount, j.Task(id).Run(), j.Suspicion(id), j.State(), len(p.leader.unreachable), len(p.lateWorkers), p.knownCrashes(), p.leader.suspicionSummary())
+// stateKey identifies the state on which the rest of the sequence depends: the starts, the crash histories, and the crashes that are not resolved.
+func (s *crashSequence) stateKey() string {
+	id, _ := s.task.TaskID()
+	j := s.leader.jobs[id.Job].job
+	return fmt.Sprint(s.startCount, j.Task(id).Run(), j.Suspicion(id), j.State(), len(s.leader.unreachable), len(s.lateWorkers), s.knownCrashes(), s.leader.suspicionSummary())
 }
 
-// suspicionSummary returns how much is held against other tasks.
-func (t *term) suspicionSummary() (held []string) {
-	for name, known := range t.jobs {
-		held = append(held, fmt.Sprint(name, known.job.Suspicion(job.TaskID{Job: name})))
+// suspicionSummary returns the crash histories of the first tasks of all jobs, sorted.
+func (t *term) suspicionSummary() (summaries []string) {
+	for name, tracked := range t.jobs {
+		summaries = append(summaries, fmt.Sprint(name, tracked.job.Suspicion(job.TaskID{Job: name})))
 	}
-	slices.Sort(held)
-	return held
+	slices.Sort(summaries)
+	return summaries
 }
 
-func (p *crashSequence) String() string {
+func (s *crashSequence) String() string {
 	var names []string
-	for _, f := range p.outcomes {
-		names = append(names, f.String())
+	for _, outcome := range s.outcomes {
+		names = append(names, outcome.String())
 	}
 	return strings.Join(names, " ")
 }
 
-// allowedStarts returns how often the task may start after what became of it so far.
-func (p *crashSequence) allowedStarts() int {
-	if p.knownCrashes() < minKnownCrashes {
+// allowedStarts returns how often the task may start after the outcomes so far.
+func (s *crashSequence) allowedStarts() int {
+	if s.knownCrashes() < minKnownCrashes {
 		return maxStartsUnseen
 	}
 	return maxStarts
 }
 
-// knownCrashes returns how many of its workers are knownCrashes to have crashed so far.
-func (p *crashSequence) knownCrashes() int {
-	known := 0
-	for i, f := range p.outcomes {
-		if f != vmLost && (f != crashReportedLate || i < len(p.outcomes)-1) {
-			known++
+// knownCrashes returns how many crashes of its workers have been reported so far.
+func (s *crashSequence) knownCrashes() int {
+	crashes := 0
+	for i, outcome := range s.outcomes {
+		if outcome != vmLost && (outcome != crashReportedLate || i < len(s.outcomes)-1) {
+			crashes++
 		}
 	}
-	return known
+	return crashes
 }
 
-// newWorker adds a worker on a VM of its own.
-func (p *crashSequence) newWorker() *stormWorker {
-	p.vmCount++
-	return &stormWorker{agent: &fakeAgent{vm: fmt.Sprintf("vm%02d", p.vmCount)}, running: make(map[link.Run]*stormRun)}
+// newWorker returns a worker on a new VM.
+func (s *crashSequence) newWorker() *stormWorker {
+	s.vmCount++
+	return &stormWorker{agent: &fakeAgent{vm: fmt.Sprintf("vm%02d", s.vmCount)}, running: make(map[link.Run]*stormRun)}
 }
 
-// awaitStart lets the lead work until it has started the task on a worker, false where its job has ended.
-func (p *crashSequence) awaitStart(w *stormWorker) bool {
+// awaitStart runs the leader until it has started the task on a worker, and returns false if the job has ended.
+func (s *crashSequence) awaitStart(w *stormWorker) bool {
 	const patience = 15 * time.Second
 	for began := time.Now(); time.Since(began) < patience; time.Sleep(stormReportInterval) {
-		assert.NilError(p.t, p.leader.closures.Load(p.t.Context()))
-		p.report(w)
-		id, _ := p.task.TaskID()
-		if p.leader.jobs[id.Job].job.State().IsFinal() {
+		assert.NilError(s.t, s.leader.closures.Load(s.t.Context()))
+		s.report(w)
+		id, _ := s.task.TaskID()
+		if s.leader.jobs[id.Job].job.State().IsFinal() {
 			return false
 		}
-		p.deliver(w)
+		s.deliver(w)
 		for run := range w.running {
-			if run.Task == p.task.Task {
+			if run.Task == s.task.Task {
 				return true
 			}
 		}
 	}
-	p.t.Fatalf("%s: the task neither starts nor is given up after %s", p.pattern.name, p)
+	s.t.Fatalf("%s: the task neither starts nor is given up after %s", s.pattern.name, s)
 	return false
 }
 
-// runUntilCrash lets the task run until it crashes its worker, beside a task that has just begun then where its way says so.
-func (p *crashSequence) runUntilCrash(w *stormWorker) {
-	const fresh = 10 * time.Millisecond
-	for began := time.Now(); time.Since(began) < p.pattern.runtime-fresh; {
-		time.Sleep(min(longTaskReportInterval, p.pattern.runtime-fresh-time.Since(began)))
-		assert.NilError(p.t, p.leader.closures.Load(p.t.Context()))
-		p.report(w)
+// runUntilCrash lets the task run until it crashes its worker, with a task that has just started beside it if the pattern has one.
+func (s *crashSequence) runUntilCrash(w *stormWorker) {
+	const newTaskAge = 10 * time.Millisecond
+	for began := time.Now(); time.Since(began) < s.pattern.runtime-newTaskAge; {
+		time.Sleep(min(longTaskReportInterval, s.pattern.runtime-newTaskAge-time.Since(began)))
+		assert.NilError(s.t, s.leader.closures.Load(s.t.Context()))
+		s.report(w)
 	}
-	if p.pattern.besideNewTask {
-		other := p.submitStep(job.Step{Count: 1, Size: job.Size{CPU: 500, Memory: 100}, Estimate: stormTaskTime})
-		p.report(w)
-		p.deliver(w)
-		for run, had := range w.running {
-			had.answered = true
+	if s.pattern.besideNewTask {
+		other := s.submitStep(job.Step{Count: 1, Size: job.Size{CPU: 500, Memory: 100}, Estimate: stormTaskTime})
+		s.report(w)
+		s.deliver(w)
+		for run, state := range w.running {
+			state.answered = true
 			if run.Task == (job.TaskID{Job: other}).String() {
-				had.startedAt = time.Now()
+				state.startedAt = time.Now()
 			}
 		}
 	}
-	time.Sleep(fresh)
+	time.Sleep(newTaskAge)
 }
 
-// crashAndReport crashes a worker and plays what becomes of the word of it; it returns where the task may start next.
-func (p *crashSequence) crashAndReport(w *stormWorker, f crashOutcome) *stormWorker {
-	p.crash(w)
-	if p.pattern.withOtherCrashes {
-		p.reportOtherBrokenCalls()
+// crashAndReport crashes a worker, reports the crash as the outcome says, and returns the worker on which the task may start next.
+func (s *crashSequence) crashAndReport(w *stormWorker, outcome crashOutcome) *stormWorker {
+	s.crash(w)
+	if s.pattern.withOtherCrashes {
+		s.reportOtherBrokenCalls()
 	}
-	// What lay beside the task starts anew after the crash, and is not to be counted with it.
+	// Tasks that ran beside the task start again after this time, so that they do not count for the same crash.
 	time.Sleep(stormDowntime)
-	switch f {
+	switch outcome {
 	case crashReported:
-		p.report(w)
+		s.report(w)
 	case agentLost:
 		w.crashReports = nil
-		p.report(w)
+		s.report(w)
 	case leaderReplaced:
-		p.reportUncommitted(w)
-		p.elect(fmt.Sprintf("e%d", len(p.outcomes)))
-		p.report(w)
+		s.reportUncommitted(w)
+		s.elect(fmt.Sprintf("e%d", len(s.outcomes)))
+		s.report(w)
 	case agentLostLeaderReplaced:
 		w.crashReports = nil
-		p.elect(fmt.Sprintf("e%d", len(p.outcomes)))
-		p.report(w)
+		s.elect(fmt.Sprintf("e%d", len(s.outcomes)))
+		s.report(w)
 	case crashReportedLate:
 		time.Sleep(agentLease)
-		defer func(held *stormWorker) { p.lateWorkers = append(p.lateWorkers, held) }(w)
-		w = p.newWorker()
+		defer func(late *stormWorker) { s.lateWorkers = append(s.lateWorkers, late) }(w)
+		w = s.newWorker()
 	case vmLost:
 		time.Sleep(agentLease)
-		w = p.newWorker()
+		w = s.newWorker()
 	}
-	for _, held := range p.lateWorkers {
-		p.report(held)
+	for _, late := range s.lateWorkers {
+		s.report(late)
 	}
-	p.lateWorkers = nil
+	s.lateWorkers = nil
 	return w
 }
 
-// reportOtherBrokenCalls tells the lead that calls to two other workers broke off at this moment.
-func (p *crashSequence) reportOtherBrokenCalls() {
-	for _, a := range p.otherAgents {
-		_, err := p.leader.report(fakeSession{a}, link.Report{VM: a.vm, Epoch: p.leader.epoch, FirstFailureMillis: 1})
-		assert.NilError(p.t, err)
+// reportOtherBrokenCalls reports to the leader that calls to two other workers have just begun to fail.
+func (s *crashSequence) reportOtherBrokenCalls() {
+	for _, a := range s.otherAgents {
+		_, err := s.leader.report(fakeSession{a}, link.Report{VM: a.vm, Epoch: s.leader.epoch, FirstFailureMillis: 1})
+		assert.NilError(s.t, err)
 	}
 }
 
-// reportUncommitted tells the lead what the worker has, and lets it commit nothing of it.
-func (p *crashSequence) reportUncommitted(w *stormWorker) {
+// reportUncommitted reports the state of the worker to a leader that does not commit it.
+func (s *crashSequence) reportUncommitted(w *stormWorker) {
 	answered := make(chan link.ReportAnswer, 1)
-	r := w.reportTo(p.leader)
+	r := w.reportTo(s.leader)
 	go func() {
-		answer, _ := p.leader.report(fakeSession{w.agent}, r)
+		answer, _ := s.leader.report(fakeSession{w.agent}, r)
 		answered <- answer
 	}()
 	answer := <-answered
-	assert.Equal(p.t, answer.AcknowledgedCrashes, uint64(0), "nothing is committed")
+	assert.Equal(s.t, answer.AcknowledgedCrashes, uint64(0), "nothing is committed")
 }
--- a/internal/dispatch/fences_test.go
+++ b/internal/dispatch/fences_test.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// lateStartWindow is how long after it answers again a worker may carry out starts that were sent to an earlier incarnation.
+	// lateStartWindow is how long after its restart a worker may carry out starts that were sent to a previous incarnation.
 	lateStartWindow = 50 * time.Millisecond
-	// leaderDiscoveryTime is how much later that may be where the agent has to find the next leader first: it reads the store once a second.
+	// leaderDiscoveryTime extends lateStartWindow if the agent must find the next leader first, for which it reads the store once a second.
 	leaderDiscoveryTime = time.Second
 )
 
-// TestNextIncarnationRefusesEarlierStarts plays what users saw: a task ran beside the run that had replaced it, or after its acknowledged end.
+// TestNextIncarnationRefusesEarlierStarts guards against a task that runs beside the run that replaced it, or after its acknowledged end.
 //
-// Order of events: a start gets no answer; its worker crashes, and the agent, the leader or both may go as well; the worker is back under any id; the
-// start is carried out there before its agent reports. Cause: all starts under one leader bore one fence, which the next incarnation did not
-// refuse either, and a call to it needed an id that the agent knew only from the worker's next report.
+// A start gets no answer and its worker crashes, possibly with the agent, the leader or both. The worker restarts under any id and carries out
+// the start before its agent reports. This happened because all starts of one leader had the same fence, which the next incarnation accepted,
+// and because the agent could call the new incarnation only after the worker's next report had given it the id.
 func TestNextIncarnationRefusesEarlierStarts(t *testing.T) {
-	for _, late := range []time.Duration{0, 2 * time.Second} {
-		for how := range restartKinds {
-			for with := range concurrentFailures {
-				for _, at := range []time.Duration{crashBeforeStart, 150 * time.Millisecond, 700 * time.Millisecond} {
-					name := fmt.Sprintf("late=%v %v", late, restart{at, how, with})
+	for _, startDelay := range []time.Duration{0, 2 * time.Second} {
+		for kind := range restartKinds {
+			for concurrent := range concurrentFailures {
+				for _, crashAt := range []time.Duration{crashBeforeStart, 150 * time.Millisecond, 700 * time.Millisecond} {
+					name := fmt.Sprintf("start-delay=%v %v", startDelay, restart{crashAt, kind, concurrent})
 					t.Run(name, func(t *testing.T) {
-						synctest.Test(t, func(t *testing.T) { checkFence(t, late, restart{at, how, with}) })
+						synctest.Test(t, func(t *testing.T) { checkFence(t, startDelay, restart{crashAt, kind, concurrent}) })
 					})
 				}
 			}
@@ -39,14 +39,14 @@
 	}
 }
 
-// checkFence crashes a worker with a start and checks its fence soon after it is back.
-func checkFence(t *testing.T, late time.Duration, r restart) {
+// checkFence crashes a worker during a start and checks that its fence is above that of the start soon after its restart.
+func checkFence(t *testing.T, startDelay time.Duration, r restart) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	p := newSimulation(ctx, t, 1, true)
 	w := p.workers[0]
 	time.Sleep(2 * time.Second)
-	w.startDelay = late
+	w.startDelay = startDelay
 	p.submitJob()
 	time.Sleep(r.at)
 	sent := w.highestSentFence
@@ -62,31 +62,31 @@
 	p.depose()
 	synctest.Wait()
 	assert.Assert(t, sent > 0 || r.at == crashBeforeStart)
-	assert.Assert(t, fence > sent, "the worker takes starts under fence %d, and has seen %d", sent, fence)
+	assert.Assert(t, fence > sent, "the worker accepts starts sent with fence %d; its fence is %d", sent, fence)
 }
 
-// TestFencesIncreaseWithEachConnection and with each leader, and end with the epoch of their leader.
+// TestFencesIncreaseWithEachConnection checks that fencing tokens rise with each connection and each leader, up to the epoch of the leader.
 func TestFencesIncreaseWithEachConnection(t *testing.T) {
 	store := kvtest.New()
-	lead, before := testTerm(t, store), uint64(0)
+	leader, before := testTerm(t, store), uint64(0)
 	for n := range 3 {
 		a := &fakeAgent{vm: "vm"}
-		answer, err := lead.report(numberedSession{fakeSession{a}, uint64(n)}, testReport("i1"))
+		answer, err := leader.report(numberedSession{fakeSession{a}, uint64(n)}, testReport("i1"))
 		assert.NilError(t, err)
-		assert.Assert(t, answer.FirstFence > before && answer.LastFence > answer.FirstFence && answer.LastFence < lead.epoch)
-		again, err := lead.report(numberedSession{fakeSession{a}, uint64(n)}, testReport("i1"))
+		assert.Assert(t, answer.FirstFence > before && answer.LastFence > answer.FirstFence && answer.LastFence < leader.epoch)
+		again, err := leader.report(numberedSession{fakeSession{a}, uint64(n)}, testReport("i1"))
 		assert.NilError(t, err)
 		assert.Equal(t, again.FirstFence, answer.FirstFence)
 		before = answer.LastFence
 	}
-	lead.fenceGrants = FencesPerEpoch / fencesPerConnection
-	assert.Equal(t, lead.grantFences(), fenceRange{first: lead.epoch, last: lead.epoch})
+	leader.fenceGrants = FencesPerEpoch / fencesPerConnection
+	assert.Equal(t, leader.grantFences(), fenceRange{first: leader.epoch, last: leader.epoch})
 	store.Revoke()
 	next := testTerm(t, store)
-	assert.Assert(t, next.grantFences().first > lead.epoch)
+	assert.Assert(t, next.grantFences().first > leader.epoch)
 }
 
-// numberedSession is a mailbox of the n-th connection.
+// numberedSession is a fakeSession with the number of its connection.
 type numberedSession struct {
 	fakeSession
 	connection uint64
@@ -94,19 +94,18 @@
 
 func (c numberedSession) number() uint64 { return c.connection }
 
-// TestTaskOfLostWorkerRunsElsewhere plays a hunted day: lasting tasks did not run for 20 s though there was room, since their worker was gone for
-// good.
+// TestTaskOfLostWorkerRunsElsewhere guards against long-running tasks that do not run for 20 s despite free capacity after their worker is lost.
 //
-// Order of events: the worker crashes and does not return; its agent raises the fence, which nothing answers; its reports say that the worker's time is
-// over. Cause: they said as well that the worker had not seen the fence, so that the leader did not rely on them.
+// The worker crashes and does not restart. Its agent raises the fence, gets no answer, and reports that the leases of the worker have expired.
+// The leader ignored these reports because they also said that the worker had not accepted the fence.
 func TestTaskOfLostWorkerRunsElsewhere(t *testing.T) {
-	for _, at := range []time.Duration{150 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond} {
+	for _, crashAt := range []time.Duration{150 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			p := newSimulation(ctx, t, 2, true)
 			time.Sleep(2 * time.Second)
 			p.submitJob()
-			time.Sleep(at)
+			time.Sleep(crashAt)
 			for _, w := range p.workers {
 				if w.run != nil {
 					w.restart(w.id, time.Second)
@@ -121,10 +120,10 @@
 			cancel()
 			p.depose()
 			synctest.Wait()
-			assert.Equal(t, running, 1, "crashed at %v", at)
+			assert.Equal(t, running, 1, "crashed at %v", crashAt)
 		})
 	}
 }
 
-// lastingTaskRecoveryLimit is the time within which the users' rules want a lasting task to run again.
+// lastingTaskRecoveryLimit is the time within which the users' rules require a long-running task to run again.
 const lastingTaskRecoveryLimit = 6 * time.Second
--- a/internal/dispatch/hostset_test.go
+++ b/internal/dispatch/hostset_test.go
@@ -15,7 +15,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// TestHostSetMatchesPlainMap over additions, removals and renamings: the same incarnations, in order, also by VM.
+// TestHostSetMatchesPlainMap checks a hostSet against a map over additions, removals and renames: the same incarnations, sorted, and by VM.
 func TestHostSetMatchesPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set, model := newHostSet(), make(map[job.Host]*hostState)
@@ -25,16 +25,16 @@
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			n := name()
-			known := model[n]
+			present := model[n]
 			switch {
-			case known == nil:
+			case present == nil:
 				model[n] = &hostState{worker: plan.Worker{Host: n}}
 				set.add(model[n])
 			case rapid.Bool().Draw(t, "rename"):
 				if next := name(); model[next] == nil {
 					delete(model, n)
-					model[next] = known
-					set.rename(known, next)
+					model[next] = present
+					set.rename(present, next)
 				}
 			default:
 				delete(model, n)
@@ -55,17 +55,17 @@
 	})
 }
 
-// TestReportCostIsIndependentOfFleetSize plays one report in a small and in a large fleet: nothing of it may be done for each other worker or
-// entry, since all agents report several times a second under one lock.
+// TestReportCostIsIndependentOfFleetSize compares the allocations of one report in a small and in a large fleet. A report must not do work for
+// each other worker or entry, since all agents report several times a second under one lock.
 func TestReportCostIsIndependentOfFleetSize(t *testing.T) {
 	allocations := func(workers int) float64 {
-		lead := busyTerm(workers)
+		leader := busyTerm(workers)
 		report := link.Report{VM: "vm-07", Epoch: 1, Instance: "vm-07", Service: testService, CPU: 32000, Memory: 128000, Fenced: true}
-		answer, err := lead.report(fakeSession{&fakeAgent{vm: report.VM}}, report)
+		answer, err := leader.report(fakeSession{&fakeAgent{vm: report.VM}}, report)
 		assert.NilError(t, err)
 		report.List = answer.List
 		return testing.AllocsPerRun(20, func() {
-			if _, err := lead.report(fakeSession{&fakeAgent{vm: report.VM}}, report); err != nil {
+			if _, err := leader.report(fakeSession{&fakeAgent{vm: report.VM}}, report); err != nil {
 				t.Error(err)
 			}
 		})
@@ -74,7 +74,7 @@
 	assert.Assert(t, large <= small+1, "%v allocations with 1600 workers, %v with 62", large, small)
 }
 
-// TestSampleOfEntriesChangesLittle when an entry joins: processes that were told a list keep most of it.
+// TestSampleOfEntriesChangesLittle checks that the sample of a process changes by at most one address when an entry joins.
 func TestSampleOfEntriesChangesLittle(t *testing.T) {
 	var list []string
 	for i := range 200 {
--- a/internal/dispatch/latestart_test.go
+++ b/internal/dispatch/latestart_test.go
@@ -18,37 +18,38 @@
 
 const testJob job.ID = "00000000000000aa"
 
-// runCycle is a turn of a lead, until its orders have arrived: they go out beside it, and a later turn would write to the same agent.
-func runCycle(t *testing.T, lead *term) {
+// runCycle runs a cycle of a leader and waits until its orders have arrived, since they are sent by other goroutines and those of a later cycle
+// would write to the same agent.
+func runCycle(t *testing.T, leader *term) {
 	t.Helper()
-	assert.NilError(t, cycle(t.Context(), lead))
+	assert.NilError(t, cycle(t.Context(), leader))
 	synctest.Wait()
 }
 
-// cancelJob cancels the job of a test and lets the lead hear of it.
-func cancelJob(t *testing.T, store *kvtest.Store, lead *term) {
+// cancelJob cancels the job of a test and lets the leader read the cancellation.
+func cancelJob(t *testing.T, store *kvtest.Store, leader *term) {
 	t.Helper()
 	_, err := store.Commit(context.Background(), kv.Txn{Puts: []kv.Put{{Key: record.CancelKey(testJob), Value: []byte{1}}}})
 	assert.NilError(t, err)
-	_, err = lead.inputsFollower().Next(t.Context(), 0)
+	_, err = leader.inputsFollower().Next(t.Context(), 0)
 	assert.NilError(t, err)
-	runCycle(t, lead)
+	runCycle(t, leader)
 }
 
-// runningReport shows the first run of the job's task at work.
+// runningReport returns a report with the first run of the job's task as running.
 func runningReport() link.Report {
 	r := testReport("i1")
 	r.Running = []link.Running{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Percent: 1}}
 	return r
 }
 
-// stopsAfterReport reports to a lead and returns the stops that it orders then.
-func stopsAfterReport(t *testing.T, lead *term, a *fakeAgent, r link.Report) []link.Run {
+// stopsAfterReport sends a report to a leader and returns the stops that the leader orders in response.
+func stopsAfterReport(t *testing.T, leader *term, a *fakeAgent, r link.Report) []link.Run {
 	t.Helper()
 	a.pendingOrders = nil
-	_, err := lead.report(fakeSession{a}, r)
+	_, err := leader.report(fakeSession{a}, r)
 	assert.NilError(t, err)
-	runCycle(t, lead)
+	runCycle(t, leader)
 	var stops []link.Run
 	for _, orders := range a.pendingOrders {
 		stops = append(stops, orders.Stops...)
@@ -56,36 +57,36 @@
 	return stops
 }
 
-// termWithPlacedTask returns a lead with a task that is ordered to an agent.
+// termWithPlacedTask returns a leader with a task that is ordered to an agent.
 func termWithPlacedTask(t *testing.T, store *kvtest.Store, a *fakeAgent) *term {
 	t.Helper()
-	lead := testTerm(t, store)
-	_, err := lead.report(fakeSession{a}, testReport("i1"))
+	leader := testTerm(t, store)
+	_, err := leader.report(fakeSession{a}, testReport("i1"))
 	assert.NilError(t, err)
-	runCycle(t, lead)
-	return lead
+	runCycle(t, leader)
+	return leader
 }
 
-// TestLateStartOfCanceledJobIsStopped, with each report for as long as it runs on.
+// TestLateStartOfCanceledJobIsStopped checks that a start carried out after its job was canceled is stopped again with each report that has it.
 func TestLateStartOfCanceledJobIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
-		lead := termWithPlacedTask(t, store, a)
-		cancelJob(t, store, lead)
+		leader := termWithPlacedTask(t, store, a)
+		cancelJob(t, store, leader)
 		gone := testReport("i1")
 		gone.Rejected = []link.Rejected{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Refusal: 2}}
-		_, err := lead.report(fakeSession{a}, gone)
+		_, err := leader.report(fakeSession{a}, gone)
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		for range 3 {
-			stops := stopsAfterReport(t, lead, a, runningReport())
+			stops := stopsAfterReport(t, leader, a, runningReport())
 			assert.DeepEqual(t, stops, []link.Run{link.NewRun(job.TaskID{Job: testJob}, 1)})
 			time.Sleep(resendAfter)
 		}
 	})
 }
 
-// TestTaskOfCanceledJobIsStoppedByNextLeader, where the lead that started it has been removed.
+// TestTaskOfCanceledJobIsStoppedByNextLeader checks that the next leader stops a task that the previous leader started.
 func TestTaskOfCanceledJobIsStoppedByNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
@@ -106,17 +107,17 @@
 
 func (silentSession) send(link.Orders) error { return fault.New(fault.OutcomeUnknown, "no answer") }
 
-// TestUnacknowledgedOrdersAreResentAfterNextReport failed with no order for resendAfter.
+// TestUnacknowledgedOrdersAreResentAfterNextReport guards against orders that are sent again only resendAfter later.
 func TestUnacknowledgedOrdersAreResentAfterNextReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lead, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
-		_, err := lead.report(silentSession{fakeSession{a}}, testReport("i1"))
+		leader, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
+		_, err := leader.report(silentSession{fakeSession{a}}, testReport("i1"))
 		assert.NilError(t, err)
-		runCycle(t, lead)
+		runCycle(t, leader)
 		assert.Equal(t, len(a.pendingOrders), 0)
-		_, err = lead.report(fakeSession{a}, testReport("i1"))
+		_, err = leader.report(fakeSession{a}, testReport("i1"))
 		assert.NilError(t, err)
-		runCycle(t, lead)
+		runCycle(t, leader)
 		assert.Equal(t, len(a.pendingOrders), 1)
 		assert.Equal(t, len(a.pendingOrders[0].Starts), 1)
 	})
--- a/internal/dispatch/modelworker_test.go
+++ b/internal/dispatch/modelworker_test.go
@@ -12,13 +12,13 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// modelWorker is a worker by the users' rules, for one task. Only one goroutine of a bubble runs it at a time, at moments of fake time.
+// modelWorker is a worker that follows the users' rules, with capacity for one task. One goroutine of the synctest bubble uses it at a time.
 type modelWorker struct {
 	replay    *simulation
 	mu        chan struct{}
 	id        incarnation.ID
 	startedAt time.Time
-	// startClock is what the steady startClock showed at the start.
+	// startClock is the reading of the worker's monotonic clock at its start.
 	startClock     time.Duration
 	downUntil      time.Time
 	reportSequence uint64
@@ -29,9 +29,9 @@
 	latestRun      int
 	ends           []host.EndedRun
 	lastEnd        uint64
-	// startDelay is how much later starts are carried out, without an answer, 0 for at once.
+	// startDelay delays starts, which then get no answer; with 0 they are carried out and answered at once.
 	startDelay time.Duration
-	// highestSentFence is the highest fence of the starts that were highestSentFence to any incarnation.
+	// highestSentFence is the highest fence of the starts that were sent to any incarnation.
 	highestSentFence uint64
 }
 
@@ -49,7 +49,7 @@
 	w.reportSequence, w.fence, w.leaseUntil, w.run, w.latestRun, w.ends, w.lastEnd = 0, 0, 0, nil, 0, nil, 0
 }
 
-// restart crashes the worker, which is back a while later as another incarnation.
+// restart crashes the worker, which answers again as another incarnation after simulatedDowntime.
 func (w *modelWorker) restart(id incarnation.ID, clock time.Duration) {
 	w.lock()
 	defer w.unlock()
@@ -59,7 +59,7 @@
 
 func (w *modelWorker) now() host.Clock { return host.Clock(w.startClock + time.Since(w.startedAt)) }
 
-// serve reports to the agent and ends what is done or not held any more.
+// serve reports to the agent at an interval, and ends the run when it is done or its lease has expired.
 func (w *modelWorker) serve(ctx context.Context, vm int) {
 	var reported time.Time
 	for ctx.Err() == nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// advance ends the run that is done or not held; w is locked.
+// advance ends the run if it is done or its lease has expired; w must be locked.
 func (w *modelWorker) advance() {
 	switch {
 	case w.run == nil:
@@ -90,13 +90,13 @@
 	}
 }
 
-func (w *modelWorker) endRun(how job.End) {
+func (w *modelWorker) endRun(end job.End) {
 	w.lastEnd++
-	w.ends = append(w.ends, host.EndedRun{Sequence: w.lastEnd, Run: *w.run, End: how})
+	w.ends = append(w.ends, host.EndedRun{Sequence: w.lastEnd, Run: *w.run, End: end})
 	w.run = nil
 }
 
-// lockForCall locks the worker for a call, false where it does not answer or has another id.
+// lockForCall locks the worker for a call, or returns an error without the lock if the worker does not answer or has another id.
 func (w *modelWorker) lockForCall(id incarnation.ID) error {
 	w.lock()
 	w.advance()
@@ -112,21 +112,21 @@
 }
 
 // Start implements host.Worker.
-func (w *modelWorker) Start(ctx context.Context, id incarnation.ID, o host.Start) (host.Refusal, error) {
+func (w *modelWorker) Start(ctx context.Context, id incarnation.ID, start host.Start) (host.Refusal, error) {
 	if err := w.lockForCall(id); err != nil {
 		return host.RefusedInvalid, err
 	}
-	w.highestSentFence = max(w.highestSentFence, o.Fence)
+	w.highestSentFence = max(w.highestSentFence, start.Fence)
 	if w.startDelay == 0 {
 		defer w.unlock()
-		return w.startRun(o), nil
+		return w.startRun(start), nil
 	}
 	late := w.startDelay
 	w.unlock()
 	go func() {
 		wait.For(w.replay.ctx, late)
 		if w.lockForCall(id) == nil {
-			w.startRun(o)
+			w.startRun(start)
 			w.unlock()
 		}
 	}()
@@ -134,33 +134,33 @@
 	return host.RefusedInvalid, fault.New(fault.OutcomeUnknown, "no answer")
 }
 
-// startRun carries a start out; w is locked.
-func (w *modelWorker) startRun(o host.Start) host.Refusal {
+// startRun carries out a start; w must be locked.
+func (w *modelWorker) startRun(start host.Start) host.Refusal {
 	switch {
-	case o.Fence < w.fence:
+	case start.Fence < w.fence:
 		return host.RefusedFence
-	case w.run != nil && *w.run == o.Run:
-		w.extendLease(o.Until)
+	case w.run != nil && *w.run == start.Run:
+		w.extendLease(start.Until)
 		return host.Accepted
-	case o.Run.Number <= w.latestRun:
+	case start.Run.Number <= w.latestRun:
 		return host.RefusedOld
-	case o.Until <= w.now():
+	case start.Until <= w.now():
 		return host.RefusedLate
 	}
-	w.fence = max(w.fence, o.Fence)
+	w.fence = max(w.fence, start.Fence)
 	if w.replay.running() > 0 {
-		w.replay.recordViolation("run %d starts on %s beside another", o.Run.Number, w.id)
+		w.replay.recordViolation("run %d starts on %s beside another run of the task", start.Run.Number, w.id)
 	}
 	if w.replay.completionRecorded && !w.replay.longRunning {
-		w.replay.recordViolation("run %d starts on %s after an end that was acknowledged", o.Run.Number, w.id)
+		w.replay.recordViolation("run %d starts on %s after the acknowledged end of the task", start.Run.Number, w.id)
 	}
-	run := o.Run
+	run := start.Run
 	w.run, w.runStartedAt, w.latestRun = &run, time.Now(), run.Number
-	w.extendLease(o.Until)
+	w.extendLease(start.Until)
 	return host.Accepted
 }
 
-// extendLease prolongs the lease; w is locked.
+// extendLease extends the lease, by at most 6 s from now; w must be locked.
 func (w *modelWorker) extendLease(until host.Clock) {
 	const longest = 6 * time.Second
 	w.leaseUntil = max(w.leaseUntil, min(until, w.now()+host.Clock(longest)))
@@ -191,26 +191,26 @@
 func (w *modelWorker) LimitConnections(int) {}
 
 // Renew implements host.Worker.
-func (w *modelWorker) Renew(ctx context.Context, id incarnation.ID, h host.Renewal) (host.View, host.Refusal, error) {
+func (w *modelWorker) Renew(ctx context.Context, id incarnation.ID, renewal host.Renewal) (host.View, host.Refusal, error) {
 	if err := w.lockForCall(id); err != nil {
 		return host.View{}, host.RefusedInvalid, err
 	}
-	if h.Fence < w.fence {
+	if renewal.Fence < w.fence {
 		w.unlock()
 		return host.View{}, host.RefusedFence, nil
 	}
-	w.fence = max(w.fence, h.Fence)
-	w.acknowledgeEnds(h.Acknowledged)
-	w.extendLease(h.Until)
-	called := w.id
-	for deadline := time.Now().Add(h.Wait); len(w.ends) == 0 && time.Now().Before(deadline) && w.id == called && ctx.Err() == nil; {
+	w.fence = max(w.fence, renewal.Fence)
+	w.acknowledgeEnds(renewal.Acknowledged)
+	w.extendLease(renewal.Until)
+	calledID := w.id
+	for deadline := time.Now().Add(renewal.Wait); len(w.ends) == 0 && time.Now().Before(deadline) && w.id == calledID && ctx.Err() == nil; {
 		w.unlock()
 		wait.For(ctx, simulatedStep)
 		w.lock()
 		w.advance()
 	}
 	defer w.unlock()
-	if w.id != called || time.Now().Before(w.downUntil) {
+	if w.id != calledID || time.Now().Before(w.downUntil) {
 		return host.View{}, host.RefusedInvalid, fault.New(fault.OutcomeUnknown, "connection reset")
 	}
 	view := host.View{Incarnation: w.id, Clock: w.now(), Ended: slices.Clone(w.ends)}
@@ -220,12 +220,12 @@
 	return view, host.Accepted, nil
 }
 
-// acknowledgeEnds forgets ends; w is locked.
-func (w *modelWorker) acknowledgeEnds(seen uint64) {
+// acknowledgeEnds removes acknowledged ends; w must be locked.
+func (w *modelWorker) acknowledgeEnds(acknowledged uint64) {
 	w.ends = slices.DeleteFunc(w.ends, func(e host.EndedRun) bool {
-		if e.Sequence <= seen && e.End == job.EndDone {
+		if e.Sequence <= acknowledged && e.End == job.EndDone {
 			w.replay.completionRecorded = true
 		}
-		return e.Sequence <= seen
+		return e.Sequence <= acknowledged
 	})
 }
--- a/internal/dispatch/orderleak_test.go
+++ b/internal/dispatch/orderleak_test.go
@@ -11,37 +11,36 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOrdersEndWithTheirAgent plays what ended the checker of two restarts with a panic: goroutines were left when all processes had ended.
+// TestOrdersEndWithTheirAgent guards against goroutines of an agent that outlive it, which made TestTwoRestartsNeitherDuplicateNorLoseTask panic.
 //
-// Order of events: a worker that returned under its id before acknowledges the stop of a start without an answer; the agent waits for the late
-// start; the worker crashes and returns once more; the agent ends. Cause: orders ran on the background context, and those for an incarnation that was
-// replaced were not canceled.
+// A worker restarts under its id and acknowledges the stop of a start without an answer; the agent waits for the late start; the worker crashes
+// and restarts again; the agent ends. Orders used the background context, and those for a replaced incarnation were not canceled.
 func TestOrdersEndWithTheirAgent(t *testing.T) {
-	for _, late := range []time.Duration{0, 250 * time.Millisecond, 2 * time.Second} {
-		for at := time.Duration(0); at < 6*time.Second; at += 100 * time.Millisecond {
+	for _, startDelay := range []time.Duration{0, 250 * time.Millisecond, 2 * time.Second} {
+		for stopAt := time.Duration(0); stopAt < 6*time.Second; stopAt += 100 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				p := newSimulation(ctx, t, 1, false)
 				time.Sleep(2 * time.Second)
-				p.workers[0].startDelay = late
+				p.workers[0].startDelay = startDelay
 				p.submitJob()
 				for n, after := range []time.Duration{time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 					time.AfterFunc(after, func() { p.crashWorker(restart{kind: clockBehind, concurrent: workerOnly}, n) })
 				}
-				time.Sleep(at)
+				time.Sleep(stopAt)
 				p.killAgent[0]()
-				left := runnerGoroutineStack()
+				leaked := runnerGoroutineStack()
 				cancel()
 				p.depose()
-				// What was carried out late is over by then, so that the bubble ends also where something is left.
+				// By then late starts have ended, so that the bubble ends even if a goroutine leaked.
 				time.Sleep(time.Minute)
-				assert.Equal(t, left, "", "late=%v agent ends at %v", late, at)
+				assert.Equal(t, leaked, "", "start-delay=%v agent ends at %v", startDelay, stopAt)
 			})
 		}
 	}
 }
 
-// runnerGoroutineStack returns the stack of a goroutine of an agent, empty where none is left.
+// runnerGoroutineStack returns the stack of a goroutine of an agent, empty if there is none.
 func runnerGoroutineStack() string {
 	const most = 1 << 20
 	stacks := make([]byte, most)
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -17,17 +17,17 @@
 type restartKind int
 
 const (
-	// clockBehind and clockAhead are under the same id, birthEarlier too, with a time of birth before the last one.
+	// clockBehind and clockAhead restart under the same id with another clock, birthEarlier with a start time before the previous one.
 	clockBehind restartKind = iota
 	clockAhead
 	birthEarlier
-	// newID is under another id, without a birth; oldID is under the id of long ago.
+	// newID restarts under another id without a start time, reusedID under the id that the worker had at first.
 	newID
 	reusedID
 	restartKinds
 )
 
-// concurrentFailure is what goes with the crash.
+// concurrentFailure is which other processes fail with the worker.
 type concurrentFailure int
 
 const (
@@ -38,7 +38,7 @@
 	concurrentFailures
 )
 
-// restart is a crash of the worker that has the task, some time after the job was accepted.
+// restart is a crash and restart of the worker that runs the task, at a time after the job was accepted.
 type restart struct {
 	at         time.Duration
 	kind       restartKind
@@ -46,11 +46,11 @@
 }
 
 func (r restart) String() string {
-	return fmt.Sprintf("at %v %s %s", r.at, [...]string{"clock-behind", "clock-ahead", "birth-earlier", "new-id", "old-id"}[r.kind],
-		[...]string{"alone", "leader-goes", "agent-goes", "both-go"}[r.concurrent])
+	return fmt.Sprintf("at %v %s %s", r.at, [...]string{"clock-behind", "clock-ahead", "start-time-earlier", "new-id", "reused-id"}[r.kind],
+		[...]string{"worker-only", "leader-fails", "agent-fails", "both-fail"}[r.concurrent])
 }
 
-// replayCase is one passage: what the task is, how starts are answered, and the crashes.
+// replayCase is a kind of task, the delay of starts, and the restarts of workers.
 type replayCase struct {
 	lasting    bool
 	startDelay time.Duration
@@ -58,97 +58,97 @@
 }
 
 func (c replayCase) String() string {
-	return fmt.Sprintf("lasting=%t late=%v %v", c.lasting, c.startDelay, c.restarts)
+	return fmt.Sprintf("long-running=%t start-delay=%v %v", c.lasting, c.startDelay, c.restarts)
 }
 
 const (
-	// recoveryLimit bounds the time in which a task with room runs again after the last crash: the lease that a call may have prolonged has to end
-	// first where the leader and the agent know nothing of the incarnation.
+	// recoveryLimit bounds the time from the last crash until a task that fits on a worker runs again: if neither the leader nor the agent knows
+	// the incarnation, the lease that a call may have extended must expire first.
 	recoveryLimit = 20 * time.Second
-	// crashBeforeStart is before the start has reached the worker; the others are spread over start, end, report, commit and acknowledgement.
+	// crashBeforeStart is a crash time before the start has reached the worker.
 	crashBeforeStart = 1 * time.Millisecond
 )
 
-// crashTimes are the times of crashes: each few milliseconds around the start and the end of the task, where all is under way.
+// crashTimes returns the times of crashes after the job was accepted: one before the start, one every 3 ms around the start and the end of the
+// task, when messages are in transit, and some between and after these.
 func crashTimes() []time.Duration {
-	at := []time.Duration{crashBeforeStart}
-	for _, around := range []time.Duration{15 * time.Millisecond, 415 * time.Millisecond} {
-		for d := range 10 {
-			at = append(at, around+time.Duration(d)*3*time.Millisecond)
+	times := []time.Duration{crashBeforeStart}
+	for _, center := range []time.Duration{15 * time.Millisecond, 415 * time.Millisecond} {
+		for i := range 10 {
+			times = append(times, center+time.Duration(i)*3*time.Millisecond)
 		}
 	}
-	return append(at, 150*time.Millisecond, 700*time.Millisecond, 1500*time.Millisecond)
+	return append(times, 150*time.Millisecond, 700*time.Millisecond, 1500*time.Millisecond)
 }
 
-// TestRestartNeitherDuplicatesNorLosesTask plays what users saw: after a worker had started again under its id, a lasting task did not run though there
-// was room for it, and a task ran again after its acknowledged end.
+// TestRestartNeitherDuplicatesNorLosesTask guards against a long-running task that does not run despite free capacity, and a task that runs again
+// after its acknowledged end, once its worker has restarted under the same id. This happened while a worker was identified by its id alone, which
+// did not distinguish the answers, ends and leases of two incarnations.
 //
-// Cause: a worker was known by its id alone; nothing told the answers, ends and leases of two incarnations apart.
-//
-// The real leader and agents are played with workers that follow the users' rules: crashes at each point between acceptance, start, view, end,
-// report, commit and acknowledgement; under the same id with any clock, under a new id or one of long ago; with the leader or the agent
-// gone at that moment; with starts that get no answer and are carried out later, also by the next incarnation.
+// The test runs the real leader and agents with workers that follow the users' rules. Workers crash at each point between acceptance, start,
+// view, end, report, commit and acknowledgement; they restart under the same id with any clock, under a new id or under a previous one; the
+// leader or the agent fails at the same time; starts get no answer and are carried out later, also by the next incarnation.
 func TestRestartNeitherDuplicatesNorLosesTask(t *testing.T) { runRestartCases(t, singleRestartCases) }
 
-// TestTwoRestartsNeitherDuplicateNorLoseTask plays a second crash some time after each first one, where ALL_PASSAGES is set: minutes on all cores.
+// TestTwoRestartsNeitherDuplicateNorLoseTask adds a second crash to each case. It needs minutes on all cores and runs only if ALL_PASSAGES is set.
 func TestTwoRestartsNeitherDuplicateNorLoseTask(t *testing.T) {
 	if os.Getenv("ALL_PASSAGES") != "" {
 		runRestartCases(t, doubleRestartCases)
 	}
 }
 
-// runRestartCases plays the passages of each kind of task, and tells of all that fail.
-func runRestartCases(t *testing.T, cases func(lasting bool, late time.Duration) []replayCase) {
+// runRestartCases runs the cases of each kind of task in parallel and reports all that fail.
+func runRestartCases(t *testing.T, cases func(longRunning bool, startDelay time.Duration) []replayCase) {
 	t.Helper()
-	for _, lasting := range []bool{false, true} {
-		for _, late := range []time.Duration{0, 250 * time.Millisecond, 2 * time.Second} {
-			t.Run(fmt.Sprintf("lasting=%t/late=%v", lasting, late), func(t *testing.T) {
+	for _, longRunning := range []bool{false, true} {
+		for _, startDelay := range []time.Duration{0, 250 * time.Millisecond, 2 * time.Second} {
+			t.Run(fmt.Sprintf("long-running=%t/start-delay=%v", longRunning, startDelay), func(t *testing.T) {
 				t.Parallel()
-				played := 0
-				for _, c := range cases(lasting, late) {
-					var broken []string
-					synctest.Test(t, func(t *testing.T) { broken = runRestartCase(t, c) })
-					// A bubble that failed would end the test.
-					if len(broken) > 0 {
-						t.Errorf("%s: %s", c, strings.Join(broken, "; "))
+				count := 0
+				for _, c := range cases(longRunning, startDelay) {
+					var violations []string
+					synctest.Test(t, func(t *testing.T) { violations = runRestartCase(t, c) })
+					// Violations are reported outside of the synctest bubble, since a failed bubble would end the test.
+					if len(violations) > 0 {
+						t.Errorf("%s: %s", c, strings.Join(violations, "; "))
 					}
-					played++
+					count++
 				}
-				t.Logf("%d passages", played)
+				t.Logf("%d cases", count)
 			})
 		}
 	}
 }
 
-// singleRestartCases returns the passages of one kind of task with one crash.
-func singleRestartCases(lasting bool, late time.Duration) []replayCase {
+// singleRestartCases returns the cases of one kind of task with one crash.
+func singleRestartCases(longRunning bool, startDelay time.Duration) []replayCase {
 	var cases []replayCase
 	for _, at := range crashTimes() {
-		for how := range restartKinds {
-			for with := range concurrentFailures {
-				cases = append(cases, replayCase{lasting, late, []restart{{at, how, with}}})
+		for kind := range restartKinds {
+			for concurrent := range concurrentFailures {
+				cases = append(cases, replayCase{longRunning, startDelay, []restart{{at, kind, concurrent}}})
 			}
 		}
 	}
 	return cases
 }
 
-// doubleRestartCases returns the passages of one kind of task with two crashes: the second while the worker is away, as it is back, before it reports
-// and after that.
-func doubleRestartCases(lasting bool, late time.Duration) []replayCase {
+// doubleRestartCases returns the cases of one kind of task with two crashes: the second while the worker is down, just after its restart, before
+// its first report and after that.
+func doubleRestartCases(longRunning bool, startDelay time.Duration) []replayCase {
 	var cases []replayCase
-	for _, c := range singleRestartCases(lasting, late) {
+	for _, c := range singleRestartCases(longRunning, startDelay) {
 		first := c.restarts[0]
 		for _, after := range []time.Duration{10 * time.Millisecond, 620 * time.Millisecond, 900 * time.Millisecond, 1300 * time.Millisecond} {
-			for again := range restartKinds {
-				cases = append(cases, replayCase{lasting, late, []restart{first, {first.at + after, again, workerOnly}}})
+			for kind := range restartKinds {
+				cases = append(cases, replayCase{longRunning, startDelay, []restart{first, {first.at + after, kind, workerOnly}}})
 			}
 		}
 	}
 	return cases
 }
 
-// runRestartCase plays one passage on two VMs and returns what was broken.
+// runRestartCase runs one case on two VMs and returns the violations.
 func runRestartCase(t *testing.T, c replayCase) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -173,7 +173,7 @@
 	return p.violations
 }
 
-// crashWorker lets the worker that has the task crashWorker, or the first one.
+// crashWorker crashes the worker that runs the task, or the first one if none does, together with the concurrent failure.
 func (p *simulation) crashWorker(r restart, n int) {
 	vm := 0
 	for i, w := range p.workers {
@@ -204,16 +204,16 @@
 	}
 }
 
-// awaitOutcome waits until the job is completed, or its lasting task runs and goes on running.
+// awaitOutcome waits until the job is completed, or its long-running task runs after 6 s; it records a violation after recoveryLimit.
 func (p *simulation) awaitOutcome(c replayCase) {
 	for began := time.Now(); time.Since(began) < recoveryLimit; time.Sleep(5 * time.Millisecond) {
 		state := p.state()
 		if state == job.Failed && len(c.restarts) >= minKnownCrashes {
-			// A task whose workers crash right after its start may be given up after two crashes.
+			// A task whose workers crash shortly after its start may be given up after two crashes.
 			return
 		}
 		if !c.lasting && state == job.Completed {
-			// What was carried out late shows itself.
+			// Late starts are carried out within this time.
 			time.Sleep(3 * time.Second)
 			return
 		}
@@ -221,5 +221,5 @@
 			return
 		}
 	}
-	p.recordViolation("the task neither runs nor is done; running=%d", p.running())
+	p.recordViolation("the task neither runs nor has ended; running=%d", p.running())
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -13,8 +13,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestSuspectedLeaderIsReplacedBeforeItsLeaseEnds failed with "e leads": nothing was scheduled until the lease of a dead lead
-// ended. The lead that was suspected wrongly finds out with its next commit.
+// TestSuspectedLeaderIsReplacedBeforeItsLeaseEnds guards against a failed leader that blocks all scheduling until its lease expires. A leader
+// that was suspected wrongly detects its replacement with its next commit or verification.
 func TestSuspectedLeaderIsReplacedBeforeItsLeaseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -43,19 +43,19 @@
 	})
 }
 
-// TestLeaderYieldsToEntryThatReachesStore failed while a lead without a way to the store led until its lease ended.
+// TestLeaderYieldsToEntryThatReachesStore guards against a leader that keeps its leadership without access to the store until its lease expires.
 func TestLeaderYieldsToEntryThatReachesStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestEntry("e", kvtest.New())
-		term, err := d.tryAcquire(t.Context())
+		leader, err := d.tryAcquire(t.Context())
 		assert.NilError(t, err)
-		d.term.Store(term)
+		d.term.Store(leader)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		ended := make(chan error, 1)
-		go func() { ended <- term.awaitYield(ctx) }()
+		go func() { ended <- leader.awaitYield(ctx) }()
 		strength := 0.2
-		fail := func() { d.config.Health.Note(time.Now(), fault.New(fault.Unavailable, "turned away")) }
+		fail := func() { d.config.Health.Note(time.Now(), fault.New(fault.Unavailable, "store unreachable")) }
 		ping := func(age time.Duration) link.PingAnswer {
 			answer, err := d.ping(ctx, nil, link.Ping{Entry: "f", Address: "f", Strength: strength, StoreAgeMillis: age.Milliseconds()})
 			assert.NilError(t, err)
@@ -67,62 +67,62 @@
 		assert.DeepEqual(t, ping(0), link.PingAnswer{Entries: []string{"e", "f"}, List: 2, Rank: 1})
 		fail()
 		time.Sleep(successorWait / 2)
-		assert.Assert(t, ping(2*time.Second).StoreDown, "what the entry heard is older than the trouble")
-		assert.Assert(t, ping(-time.Millisecond).StoreDown, "the entry never heard of the store")
-		assert.Equal(t, term.storeAnsweredOther(d.config.Health.Failing()), false)
+		assert.Assert(t, ping(2*time.Second).StoreDown, "the entry's last answer is older than the first failure")
+		assert.Assert(t, ping(-time.Millisecond).StoreDown, "the store never answered the entry")
+		assert.Equal(t, leader.storeAnsweredOther(d.config.Health.Failing()), false)
 		recent := ping(0)
-		assert.Assert(t, !recent.StoreDown && !recent.TakeOver, "the lead tries a few times more")
+		assert.Assert(t, !recent.StoreDown && !recent.TakeOver, "the leader retries a few times")
 		assert.Assert(t, !ping(-time.Millisecond).StoreDown, "the store answers another entry")
 		for range yieldFailures {
 			fail()
 		}
-		assert.Assert(t, !ping(0).TakeOver, "a stronger entry may come")
+		assert.Assert(t, !ping(0).TakeOver, "a stronger entry may ping")
 		strength = 1
 		assert.Assert(t, ping(0).TakeOver)
 		assert.Assert(t, fault.Is(<-ended, fault.Unavailable))
 		_, err = d.ping(ctx, nil, link.Ping{Entry: "g", Address: "g"})
-		assert.Assert(t, fault.Is(err, fault.Stale), "only one entry is asked")
+		assert.Assert(t, fault.Is(err, fault.Stale), "only one entry is asked to take over")
 		assert.Assert(t, !d.backoffElapsed())
 	})
 }
 
-// TestWeakLeaderYieldsToMuchStrongerEntry failed with the weak lead, which led for as long as nothing befell it: a weak entry wins when
-// its follower notices first that nobody leads.
+// TestWeakLeaderYieldsToMuchStrongerEntry guards against a weak leader that keeps its leadership until it fails. A weak entry becomes the leader
+// if it is the first to detect that there is none.
 func TestWeakLeaderYieldsToMuchStrongerEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		weak := newTestEntry("weak", store)
 		weak.config.Strength = 0.2
-		term, err := weak.tryAcquire(t.Context())
+		leader, err := weak.tryAcquire(t.Context())
 		assert.NilError(t, err)
-		weak.term.Store(term)
-		ask := func(strength float64, age time.Duration) bool {
+		weak.term.Store(leader)
+		yieldsTo := func(strength float64, age time.Duration) bool {
 			answer, err := weak.ping(t.Context(), nil, link.Ping{Entry: "f", Address: "f", Strength: strength, StoreAgeMillis: age.Milliseconds()})
 			assert.NilError(t, err)
 			return answer.TakeOver
 		}
-		assert.Assert(t, !ask(0.8, 0), "the term has just begun")
+		assert.Assert(t, !yieldsTo(0.8, 0), "the term has just begun")
 		time.Sleep(outrankTermAge + time.Millisecond)
-		assert.Assert(t, !ask(0.3, 0), "it is hardly stronger")
-		assert.Assert(t, !ask(0.8, 2*outrankAnswerAge), "the store may not answer it")
-		assert.Assert(t, !ask(0.8, -time.Millisecond), "the store never answered it")
-		assert.Assert(t, ask(0.8, 0))
+		assert.Assert(t, !yieldsTo(0.3, 0), "the entry is only slightly stronger")
+		assert.Assert(t, !yieldsTo(0.8, 2*outrankAnswerAge), "the entry's last answer from the store is too old")
+		assert.Assert(t, !yieldsTo(0.8, -time.Millisecond), "the store never answered the entry")
+		assert.Assert(t, yieldsTo(0.8, 0))
 		strong := newTestEntry("strong", store)
-		strong.SuspectLeader(term.epoch, "a test")
+		strong.SuspectLeader(leader.epoch, "a test")
 		next, err := strong.tryAcquire(t.Context())
 		assert.NilError(t, err)
-		assert.Equal(t, next.epoch, term.epoch+FencesPerEpoch)
+		assert.Equal(t, next.epoch, leader.epoch+FencesPerEpoch)
 	})
 }
 
-// TestRateLimitedLeaderYields plays a fleet whose leader was among the entries that the store turned away: it held on for more than a second,
-// with 63 runs lapsed on workers whose agents had not found the next leader.
+// TestRateLimitedLeaderYields guards against a rate-limited leader that keeps its leadership. In one fleet it did so for more than a second,
+// and 63 runs expired on workers whose agents had not found the next leader.
 func TestRateLimitedLeaderYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestEntry("e", kvtest.New())
-		term, err := d.tryAcquire(t.Context())
+		leader, err := d.tryAcquire(t.Context())
 		assert.NilError(t, err)
-		d.term.Store(term)
+		d.term.Store(leader)
 		time.Sleep(time.Second)
 		d.config.Health.Note(time.Now(), nil)
 		ping := func(age time.Duration) link.PingAnswer {
@@ -131,12 +131,12 @@
 			return answer
 		}
 		for range yieldFailures {
-			d.config.Health.Note(time.Now(), fault.New(fault.Overloaded, "refused for its rate"))
+			d.config.Health.Note(time.Now(), fault.New(fault.Overloaded, "rate limit exceeded"))
 			answer := ping(time.Second)
-			assert.Assert(t, !answer.StoreDown && !answer.TakeOver, "the rate of all may be spent")
+			assert.Assert(t, !answer.StoreDown && !answer.TakeOver, "the rate limit of all entries may be exhausted")
 			time.Sleep(2 * answerAgeMargin)
 		}
 		assert.Assert(t, d.config.Health.Limited())
-		assert.Assert(t, ping(0).TakeOver, "an entry is served since")
+		assert.Assert(t, ping(0).TakeOver, "the store has answered an entry since")
 	})
 }
