--- a/internal/dispatch/clustermodel_property_test.go
+++ b/internal/dispatch/clustermodel_property_test.go
@@ -34,11 +34,11 @@
 	case 3:
 		m.runLeader(m.currentTerm())
 	case 4:
-		m.runLeader(rapid.SampledFrom(m.terms).Draw(m.t, "leader"))
+		m.runLeader(rapid.SampledFrom(m.terms).Draw(m.t, "lead"))
 	case 5, 6, 7:
 		m.report(a, m.currentTerm())
 	case 8:
-		m.report(a, rapid.SampledFrom(m.terms).Draw(m.t, "leader"))
+		m.report(a, rapid.SampledFrom(m.terms).Draw(m.t, "lead"))
 	case 9, 10, 11:
 		m.deliverOrders(a)
 	case 12:
@@ -47,7 +47,7 @@
 		m.store.Catch()
 		time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(m.t, "ms")) * time.Millisecond)
 	case 14:
-		switch rapid.IntRange(0, 5).Draw(m.t, "restart") {
+		switch rapid.IntRange(0, 5).Draw(m.t, "kind of restart") {
 		case 0:
 			a.replaceWorker(rapid.Bool().Draw(m.t, "reports start time"))
 		case 1, 2:
--- a/internal/dispatch/clustermodel_workers_test.go
+++ b/internal/dispatch/clustermodel_workers_test.go
@@ -118,7 +118,7 @@
 	if len(a.pendingOrders) == 0 {
 		return
 	}
-	index := rapid.IntRange(0, len(a.pendingOrders)-1).Draw(m.t, "message")
+	index := rapid.IntRange(0, len(a.pendingOrders)-1).Draw(m.t, "letter")
 	orders := a.pendingOrders[index]
 	a.pendingOrders = slices.Delete(a.pendingOrders, index, index+1)
 	if orders.Epoch != a.epoch || orders.Incarnation() != a.known {
