--- a/internal/dispatch/clustermodel_test.go
+++ b/internal/dispatch/clustermodel_test.go
@@ -29,7 +29,7 @@
 	acknowledgedTasks   map[string]bool
 	failureCounts       map[string]int
 	consecutiveTroubles int
-	// closedSince has since when each closed hall is closed.
+	// closedSince has the time at which each closed hall was closed.
 	closedSince map[string]time.Time
 }
 
--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -47,7 +47,8 @@
 }
 
 const (
-	// maxStarts is how often a task that crashes its workers may start: the platform allows the third start after the third crash.
+	// maxStarts is how often a task that crashes its workers may start: the platform counts the third start after the third crash
+	// as a violation.
 	maxStarts = 5
 	// maxStartsUnseen is maxStarts for a task whose crashes cannot be observed: the VMs were lost, as by a network partition.
 	maxStartsUnseen = 8
--- a/internal/dispatch/hosted.go
+++ b/internal/dispatch/hosted.go
@@ -19,8 +19,8 @@
 	ended bool
 	// draining reports whether the worker drains: it takes no more starts, and its runs end with it.
 	draining bool
-	// sampledAt is when the measurements were last evaluated, imageUsage has the share of the worker's processors that each
-	// image with best-effort tasks used by them.
+	// sampledAt is when the measurements were last evaluated, imageUsage has the share of the worker's processors that the best-effort tasks
+	// of each image used then.
 	sampledAt  time.Time
 	imageUsage map[string]float64
 	// consecutiveFailures counts the runs that have failed since the last one that succeeded.
@@ -48,10 +48,10 @@
 	progressedAt   time.Time
 	stalledSamples int
 	stallSampledAt time.Time
-	// pace is the pace of a best-effort task in percent, slowSince is since when it has been below slowPace.
+	// pace is the pace of a best-effort task in percent, slowSince is the time since which it has been below slowPace.
 	pace      int
 	slowSince time.Time
-	// overTargetSince is since when a serving task has exceeded its latency target, zero while it does not.
+	// overTargetSince is the time since which a serving task has exceeded its latency target, zero while it does not.
 	overTargetSince time.Time
 	// survivedStart reports whether the run has survived its startup, as first reported at survivedStartAt; startedAlone whether it was
 	// started without other starting tasks, to show whether it crashes its worker.
--- a/internal/dispatch/modelworker_test.go
+++ b/internal/dispatch/modelworker_test.go
@@ -12,7 +12,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// modelWorker is a worker that follows the users' rules, with capacity for one task. One goroutine of the synctest bubble uses it at a time.
+// modelWorker is a worker that follows the users' rules, with capacity for one task. Only one goroutine of the synctest bubble uses it at any
+// moment of fake time.
 type modelWorker struct {
 	replay    *simulation
 	mu        chan struct{}
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -112,7 +112,7 @@
 	return answer
 }
 
-// superseded reports whether the agent has already reported over a newer connection, so that this report was delayed by the network. An agent
+// superseded reports whether the agent has already reported over a newer connection, so that a network partition delayed this report. An agent
 // opens a new connection when it starts, and a connection reports only after it was answered while its agent ran: so the order of connections
 // is the order of the agent's incarnations and of their observations of the worker.
 func (t *term) superseded(s session, r link.Report) bool {
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -174,8 +174,8 @@
 
 func (named) Newest() *policy.Policy { return policy.New(1, nil, map[string]int{testService: 3}, 0) }
 
-// TestReportOfUnconfiguredServiceIsMarkedForeign checks that an agent learns that the service of its worker is in no configuration, so that it
-// discards a first report that came from an unknown sender.
+// TestReportOfUnconfiguredServiceIsMarkedForeign checks that the answer to a report marks a service that is in no configuration, so that the agent
+// discards a first report from an unknown sender.
 func TestReportOfUnconfiguredServiceIsMarkedForeign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader := testTerm(t, kvtest.New())
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -62,8 +62,8 @@
 }
 
 const (
-	// recoveryLimit bounds the time from the last crash until a task that fits on a worker runs again: if neither the leader nor the agent knows
-	// the incarnation, the lease that a call may have extended must expire first.
+	// recoveryLimit bounds the time from the last crash until a task that fits on a worker runs again: if neither the leader nor the agent has a
+	// record of the incarnation, the lease that a call may have extended must expire first.
 	recoveryLimit = 20 * time.Second
 	// crashBeforeStart is a crash time before the start has reached the worker.
 	crashBeforeStart = 1 * time.Millisecond
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -70,7 +70,7 @@
 type storeReach int
 
 const (
-	// storeReachable: the store answers the leader, or may answer it soon.
+	// storeReachable: the store answers the leader, or the leader goes on retrying.
 	storeReachable storeReach = iota
 	// storeUnavailable: the store answers no known process.
 	storeUnavailable
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -34,8 +34,8 @@
 	// commitDelay is how long changes are collected for one commit: short compared with the 250 ms budget of a lookup, and long enough that
 	// most ends of a step share one call to the store.
 	commitDelay = 15 * time.Millisecond
-	// planPauseFactor times the duration of a plan is the least time between its start and the next plan: on a VM that is slow or short of
-	// processor time the leader must also answer reports.
+	// planPauseFactor times the duration of a plan is the least pause before the next plan: on a VM that is slow or short of processor time the
+	// leader must also answer reports.
 	planPauseFactor = 2
 	// maxPlanInterval is the longest time between two plans, so that expired timeouts are handled without another change.
 	maxPlanInterval = 100 * time.Millisecond
@@ -85,7 +85,7 @@
 	// learnedSavedAt is when the interference model was last saved, loadLoggedAt when the load was last logged.
 	learnedSavedAt time.Time
 	loadLoggedAt   time.Time
-	// closuresUnconfirmed reports whether placement is paused because halls may have been closed without the leader's knowledge.
+	// closuresUnconfirmed reports whether placement is paused because the store has not confirmed recently which halls are closed.
 	closuresUnconfirmed bool
 	leaseReplaced       bool
 	backlog             batchBacklog
--- a/internal/dispatch/tracked.go
+++ b/internal/dispatch/tracked.go
@@ -27,7 +27,7 @@
 	backoffs map[job.TaskID]backoff
 }
 
-// updateIdle records since when no task of the job is placed.
+// updateIdle records the time since which no task of the job is placed.
 func (k *trackedJob) updateIdle(now time.Time) {
 	placed := false
 	k.job.Each(func(_ job.TaskID, task *job.Task) { placed = placed || task.Phase() == job.Placed })
