--- a/internal/dispatch/incarnations_test.go
+++ b/internal/dispatch/incarnations_test.go
@@ -16,9 +16,9 @@
 )
 
 // reportWithBirth returns a report of the incarnation of a worker with a start time.
-func reportWithBirth(born int64) link.Report {
+func reportWithBirth(startMillis int64) link.Report {
 	r := testReport("i1")
-	r.StartMillis = born
+	r.StartMillis = startMillis
 	return r
 }
 
@@ -182,17 +182,17 @@
 // TestMissingBirthKeepsRuns checks that runs stay placed when start times begin or cease to be reported during a rollout: the incarnation is
 // the same.
 func TestMissingBirthKeepsRuns(t *testing.T) {
-	for name, births := range map[string][2]int64{"agent rolled out": {0, 1}, "agent rolled back": {1, 0}} {
+	for name, startTimes := range map[string][2]int64{"agent rolled out": {0, 1}, "agent rolled back": {1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := &fakeAgent{vm: "vm"}
 				leader := testTerm(t, kvtest.New())
-				reportAndRun(t, leader, a, reportWithBirth(births[0]))
-				reportAndRun(t, leader, a, withFirstRun(reportWithBirth(births[0])))
-				starts, stops := reportAndRun(t, leader, a, withFirstRun(reportWithBirth(births[1])))
+				reportAndRun(t, leader, a, reportWithBirth(startTimes[0]))
+				reportAndRun(t, leader, a, withFirstRun(reportWithBirth(startTimes[0])))
+				starts, stops := reportAndRun(t, leader, a, withFirstRun(reportWithBirth(startTimes[1])))
 				assert.Equal(t, len(starts)+len(stops), 0)
 				assert.Equal(t, testTask(leader).Run(), 1)
-				assert.Equal(t, testTask(leader).Host(), job.Host{VM: "vm", Incarnation: incarnation.New("i1", births[1])})
+				assert.Equal(t, testTask(leader).Host(), job.Host{VM: "vm", Incarnation: incarnation.New("i1", startTimes[1])})
 				assert.Equal(t, leader.hosts.len(), 1)
 			})
 		})
@@ -235,7 +235,7 @@
 // TestUnreachableIncarnationCountsAsCrashedWhenNextReports checks that an unreachable incarnation counts as crashed once the next one under the
 // same id reports, and not if it reports itself.
 func TestUnreachableIncarnationCountsAsCrashedWhenNextReports(t *testing.T) {
-	for born, lost := range map[int64]int{1: 0, 2: 1} {
+	for startMillis, lost := range map[int64]int{1: 0, 2: 1} {
 		synctest.Test(t, func(t *testing.T) {
 			a := &fakeAgent{vm: "vm"}
 			leader := termWithBirth(t, kvtest.New(), a)
@@ -244,7 +244,7 @@
 			assert.NilError(t, leader.closures.Load(t.Context()))
 			runCycle(t, leader)
 			assert.Equal(t, len(leader.unreachable), 1)
-			reportAndRun(t, leader, a, reportWithBirth(born))
+			reportAndRun(t, leader, a, reportWithBirth(startMillis))
 			losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
 			assert.Equal(t, losses.Crashed(), lost)
 		})
