--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -10,33 +10,35 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// Tickets are the workers that may run a step, each with what the start has to bring.
+// Tickets lists the workers that may run a step, each with the ticket that its start order must carry.
 type Tickets struct {
-	// ByInstance holds the tickets by the id of the worker; each is for the incarnation that has the id now.
+	// ByInstance maps worker ids to tickets; each ticket is for the worker's present incarnation.
 	ByInstance map[string]string
-	// Valid is how long they hold from the answer on.
+	// Valid is how long the tickets are valid, counted from the answer.
 	Valid time.Duration
 }
 
-// Advisor is the service that knows which workers may run the steps of an advised queue.
+// Advisor is the service that decides which workers may run the steps of an advised queue.
 type Advisor interface {
-	// Advise asks about one step, named as the job, the time and the step joined by dots, and at most 100 workers; errors are
-	// of kind Overloaded where too many ask.
+	// Advise asks about one step, named as job, iteration and step joined by dots, and at most 100 workers. A rate limited
+	// call fails with kind Overloaded.
 	Advise(ctx context.Context, step string, instances []string) (Tickets, error)
 }
 
 const (
-	// maxAdvisedWorkers is how many workers one call names at the most, by the platform's page.
+	// maxAdvisedWorkers is the platform's documented limit of workers in one call.
 	maxAdvisedWorkers = 100
-	// adviceTimeout bounds one call, which takes a few milliseconds for each worker named.
+	// adviceTimeout bounds one call, which takes a few milliseconds for each worker in it.
 	adviceTimeout = 2 * time.Second
-	// ticketReserveDivisor is the part of a ticket's time that is left for the order to reach its worker: one over this.
+	// ticketReserveDivisor is the divisor of a ticket's validity that gives the time reserved for the start to reach its
+	// worker.
 	ticketReserveDivisor = 3
-	// adviceRetryDelay is how long a step is not asked about after a call that failed.
+	// adviceRetryDelay is the delay before the next request for a step after a failed call, and the least validity of an
+	// answer.
 	adviceRetryDelay = 300 * time.Millisecond
 )
 
-// advice is what is known of one step.
+// advice holds the tickets of one step.
 type advice struct {
 	tickets    map[incarnation.ID]string
 	validUntil time.Time
@@ -53,21 +55,21 @@
 	return job.TaskID{Job: s.job, Iteration: s.time, Step: s.step}.StepName()
 }
 
-// ticketsFor returns the tickets of a group by the workers that may run it, and asks for them where they are not known.
+// ticketsFor returns the tickets of a step by worker, and requests new ones in the background if none are valid.
 func (t *term) ticketsFor(id stepID, service string) map[job.Host]string {
-	known := t.advice[id]
-	if known == nil {
-		known = &advice{}
-		t.advice[id] = known
+	cached := t.advice[id]
+	if cached == nil {
+		cached = &advice{}
+		t.advice[id] = cached
 	}
-	if !known.pending && time.Now().After(known.validUntil) {
-		known.pending, known.tickets = true, nil
+	if !cached.pending && time.Now().After(cached.validUntil) {
+		cached.pending, cached.tickets = true, nil
 		go t.fetchAdvice(id, t.openIncarnations(service))
 	}
 	tickets := make(map[job.Host]string)
 	for _, h := range t.hosts.all() {
 		host := h.worker.Host
-		if ticket, ok := known.tickets[host.Incarnation]; ok {
+		if ticket, ok := cached.tickets[host.Incarnation]; ok {
 			tickets[host] = ticket
 		}
 	}
@@ -75,43 +77,43 @@
 }
 
 func (t *term) openIncarnations(service string) []incarnation.ID {
-	var found []incarnation.ID
+	var incarnations []incarnation.ID
 	for _, h := range t.hosts.all() {
 		if h.worker.Schedulable && h.worker.Service == service {
-			found = append(found, h.worker.Host.Incarnation)
+			incarnations = append(incarnations, h.worker.Host.Incarnation)
 		}
 	}
-	return found
+	return incarnations
 }
 
-// fetchAdvice asks about all workers, in as many calls as it takes; the service takes one at a time.
+// fetchAdvice asks about all workers of a step in chunks; the service accepts only one call at a time.
 func (t *term) fetchAdvice(id stepID, workers []incarnation.ID) {
 	t.adviceMu.Lock()
 	defer t.adviceMu.Unlock()
-	tickets := make(map[incarnation.ID]string)
+	byIncarnation := make(map[incarnation.ID]string)
 	valid := adviceRetryDelay
 	for chunk := range slices.Chunk(workers, maxAdvisedWorkers) {
 		ctx, cancel := context.WithTimeout(context.Background(), adviceTimeout)
-		answer, err := t.dispatcher.config.Advisor.Advise(ctx, id.String(), workerIDs(chunk))
+		tickets, err := t.dispatcher.config.Advisor.Advise(ctx, id.String(), workerIDs(chunk))
 		cancel()
 		if err != nil {
-			t.logger.Warn("no advice; step=%s workers=%d reason=%v", id, len(chunk), err)
+			t.logger.Warn("advice request failed; step=%s workers=%d reason=%v", id, len(chunk), err)
 			break
 		}
 		for _, worker := range chunk {
-			if ticket, ok := answer.ByInstance[worker.Worker()]; ok {
-				tickets[worker] = ticket
+			if ticket, ok := tickets.ByInstance[worker.Worker()]; ok {
+				byIncarnation[worker] = ticket
 			}
 		}
-		valid = max(adviceRetryDelay, answer.Valid-answer.Valid/ticketReserveDivisor)
+		valid = max(adviceRetryDelay, tickets.Valid-tickets.Valid/ticketReserveDivisor)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.advice[id] = &advice{tickets: tickets, validUntil: time.Now().Add(valid)}
+	t.advice[id] = &advice{tickets: byIncarnation, validUntil: time.Now().Add(valid)}
 	t.wakeUp()
 }
 
-// workerIDs returns the ids by which the service that advises knows workers.
+// workerIDs returns the ids that the advisor uses for workers.
 func workerIDs(workers []incarnation.ID) []string {
 	ids := make([]string, 0, len(workers))
 	for _, w := range workers {
@@ -120,10 +122,10 @@
 	return ids
 }
 
-// dropAdvice drops what is known of a step, after a worker refused its ticket.
+// dropAdvice discards the tickets of a step after a worker refused one of them.
 func (t *term) dropAdvice(id job.TaskID) { delete(t.advice, stepID{id.Job, id.Iteration, id.Step}) }
 
-// addTickets adds the tickets of an advised queue to a group.
+// addTickets adds the tickets of the step to a group if its queue is advised.
 func (t *term) addTickets(g *plan.Group, queue job.Queue) {
 	if queue.Advised && t.dispatcher.config.Advisor != nil {
 		g.Tickets = t.ticketsFor(stepID{g.Job.ID(), g.Time, g.StepIndex}, g.Service)
--- a/internal/dispatch/backlog.go
+++ b/internal/dispatch/backlog.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// backlogTimeConstant is the time over which it is reckoned how starved batch is: what waits for a moment is not.
+	// backlogTimeConstant is the time constant that smooths the backlog level, so that a short wait hardly raises it.
 	backlogTimeConstant = 3 * time.Second
-	// minBatchShare is the share of the workers that batch is taken to use at the least: right after a loss it uses none.
+	// minBatchShare is the least share of the workers that batch work is assumed to use: right after a loss it uses none.
 	minBatchShare = 0.1
-	// backlogStart and starvedAt are how long what waits would take, as shares of the time that it has, from which batch counts
-	// as starved and at which it does so altogether.
+	// backlogStart and backlogFull are the expected completion times of the waiting batch work, as shares of its objective,
+	// at which the level starts to rise and at which it reaches 1.
 	backlogStart = 0.7
 	backlogFull  = 1.3
-	// backlogResolution divides 1 into the steps in which it is told to agents.
+	// backlogResolution is the number of steps from 0 to 1 to which the level is rounded for agents.
 	backlogResolution = 10
 )
 
-// batchBacklog follows how long the batch that waits would take at the rate at which batch gets done, beside the time that its
-// jobs have. In a burst on the users' deployments that is less than they have; where most filling images harm most serving ones
-// it is two to four times as much, and batch would get next to nothing done in time.
+// batchBacklog estimates how long the waiting batch work takes at the current rate, relative to the objectives of its jobs.
+// In a burst on the users' deployments that is below 1. Where most best-effort images interfere with most serving ones it is
+// 2 to 4, and almost no batch job would meet its objective.
 type batchBacklog struct {
 	level     float64
 	updatedAt time.Time
 }
 
-// update takes into account what waits, how many thousandths of a core batch uses, and how many there are.
+// update updates the level by the waiting tasks, the CPU that batch work uses and the capacity, both in thousandths of a core.
 func (s *batchBacklog) update(now time.Time, groups []*plan.Group, used, capacity int) {
 	var work, objective float64
 	for _, g := range groups {
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// minRunTime is how long a run must live to be more than a failed attempt.
+	// minRunTime is the run time from which an end causes no backoff.
 	minRunTime = time.Second
-	// minBackoff and mostDelay bound how long a task waits that has ended quickly again; the platform allows six seconds.
+	// minBackoff and maxBackoff bound the delay of a task whose runs end quickly; the platform allows six seconds.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// backoff holds a task back whose runs end quickly, one after the other: what lasts may fail without a bound, and would be started
-// again with each plan, so that its commits hold those of all others up.
+// backoff delays the restart of a task whose consecutive runs end quickly. A long-running task may fail without a limit, and
+// without a delay each plan would restart it, so that its commits delay those of all other tasks.
 type backoff struct {
 	quickEnds int
 	until     time.Time
 }
 
-// next returns the backoff once a run has ended that lived for a time; the first that ends quickly may be chance.
-func (b backoff) next(lived time.Duration, now time.Time) backoff {
-	if lived >= minRunTime {
+// next returns the backoff after the end of a run; the first quick end causes no delay, since it may be chance.
+func (b backoff) next(runTime time.Duration, now time.Time) backoff {
+	if runTime >= minRunTime {
 		return backoff{}
 	}
 	b.quickEnds++
@@ -36,26 +36,26 @@
 	return b
 }
 
-// backOffAfterEnd takes note that a run ended which began at a time, where nothing else bounds how often its task is started again.
-func (k *trackedJob) backOffAfterEnd(id job.TaskID, end job.End, began time.Time) {
+// backOffAfterEnd updates the backoff of a task after the end of a run, if nothing else limits the restarts of the task.
+func (k *trackedJob) backOffAfterEnd(id job.TaskID, end job.End, placedAt time.Time) {
 	step := &k.job.Spec().Steps[id.Step]
 	now := time.Now()
 	switch {
 	case step.Gang && end == job.EndGangIncomplete:
 		k.backoffs[id] = k.backoffs[id].next(0, now)
 	case step.LongRunning && (end == job.EndFailed || end == job.EndDone):
-		k.backoffs[id] = k.backoffs[id].next(now.Sub(began), now)
+		k.backoffs[id] = k.backoffs[id].next(now.Sub(placedAt), now)
 	}
 }
 
-// backOffAfterRefusal takes note that a worker backOffAfterRefusal a start for good, as any other may.
-func (k *trackedJob) backOffAfterRefusal(id job.TaskID, why host.Refusal) {
-	if why == host.RefusedInvalid {
+// backOffAfterRefusal updates the backoff of a task after a worker refused its start as invalid, as other workers may too.
+func (k *trackedJob) backOffAfterRefusal(id job.TaskID, reason host.Refusal) {
+	if reason == host.RefusedInvalid {
 		k.backoffs[id] = k.backoffs[id].next(0, time.Now())
 	}
 }
 
-// readyTasks returns the waiting tasks of a step that are not held back; a gang is, while one of its members is.
+// readyTasks returns the waiting tasks of a step that have no backoff; a gang is ready once all of its waiting members are.
 func (k *trackedJob) readyTasks(id job.TaskID, waiting []int, now time.Time) []int {
 	if len(k.backoffs) == 0 {
 		return waiting
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -10,21 +10,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// maxRecords leaves room in a transaction of kv.MaxEntries for two puts and two conditions of the chain and the lead, and
-// for what was learned.
+// maxRecords leaves space in a transaction of kv.MaxEntries for two puts and two conditions, those of the last commit and
+// of the leader record, and for the interference model.
 const maxRecords = kv.MaxEntries - 6
 
-// checkpointInterval is the least time between two records of a job for its checkpoints alone: tasks save their progress once or
-// twice a second, and a record has up to some kilobytes.
+// checkpointInterval is the least time between two writes of a job that are due to checkpoints alone: tasks save a
+// checkpoint once or twice a second, and a record has up to some kilobytes.
 const checkpointInterval = time.Second
 
-// batch is what one transaction writes.
+// batch is the content of one transaction and the state to update once it is committed.
 type batch struct {
 	txn      kv.Txn
 	versions map[*trackedJob]uint64
 	runs     []batchedRun
 	removed  []job.ID
-	// reacquire says that the batch enters the lead under a new lease.
+	// reacquire reports whether the batch writes the leader record under a new lease.
 	reacquire bool
 }
 
@@ -35,16 +35,16 @@
 	run  int
 }
 
-// nextBatch gathers what changed, nil where nothing did.
+// nextBatch returns the changes to commit next, nil if there are none.
 func (t *term) nextBatch() (*batch, error) {
 	b := &batch{versions: make(map[*trackedJob]uint64), reacquire: t.leaseReplaced}
 	if b.reacquire {
-		lead, err := t.leaderPut()
+		leader, err := t.leaderPut()
 		if err != nil {
 			return nil, err
 		}
 		b.txn.Conditions = []kv.Condition{{Key: record.LeaderKey}}
-		b.txn.Puts = []kv.Put{lead}
+		b.txn.Puts = []kv.Put{leader}
 	}
 	for _, id := range t.sortedDirty() {
 		if len(b.versions) == maxRecords {
@@ -73,30 +73,30 @@
 	return b, nil
 }
 
-// add writes how far a job is, unless the job is forgotten.
-func (b *batch) add(known *trackedJob) error {
-	if known == nil {
+// add adds the progress record of a job; nil stands for a job that was removed.
+func (b *batch) add(tracked *trackedJob) error {
+	if tracked == nil {
 		return nil
 	}
-	value, err := known.job.EncodeProgress()
+	value, err := tracked.job.EncodeProgress()
 	if err != nil {
 		return err
 	}
-	b.txn.Puts = append(b.txn.Puts, kv.Put{Key: record.ProgressKey(known.job.ID()), Value: value})
-	b.versions[known] = known.version
-	known.unsavedCheckpoints, known.batchedAt = false, time.Now()
+	b.txn.Puts = append(b.txn.Puts, kv.Put{Key: record.ProgressKey(tracked.job.ID()), Value: value})
+	b.versions[tracked] = tracked.version
+	tracked.unsavedCheckpoints, tracked.batchedAt = false, time.Now()
 	return nil
 }
 
-// addCheckpoints adds jobs with new checkpoints to a batch that is written anyway, so that little is run again where all VMs
+// addCheckpoints adds jobs with new checkpoints to a batch that is not empty, so that little work is repeated if all VMs
 // are lost at once.
 func (t *term) addCheckpoints(b *batch) error {
 	if len(b.versions) == 0 {
 		return nil
 	}
 	var due []job.ID
-	for id, known := range t.jobs {
-		if known.unsavedCheckpoints && !b.contains(known) && time.Since(known.batchedAt) >= checkpointInterval {
+	for id, tracked := range t.jobs {
+		if tracked.unsavedCheckpoints && !b.contains(tracked) && time.Since(tracked.batchedAt) >= checkpointInterval {
 			due = append(due, id)
 		}
 	}
@@ -109,10 +109,10 @@
 	return nil
 }
 
-// collectRuns notes the runs that the batch commits for the first time.
+// collectRuns records the runs that the batch commits for the first time.
 func (b *batch) collectRuns(t *term) {
-	for known := range b.versions {
-		known.job.Each(func(id job.TaskID, task *job.Task) {
+	for tracked := range b.versions {
+		tracked.job.Each(func(id job.TaskID, task *job.Task) {
 			if task.Phase() != job.Placed {
 				return
 			}
@@ -126,19 +126,19 @@
 	slices.SortFunc(b.runs, func(x, y batchedRun) int { return cmp.Or(compareHosts(x.host, y.host), compareTasks(x.id, y.id)) })
 }
 
-func (b *batch) contains(known *trackedJob) bool {
-	_, ok := b.versions[known]
+func (b *batch) contains(tracked *trackedJob) bool {
+	_, ok := b.versions[tracked]
 	return ok
 }
 
-// addRemovals removes the records of jobs that ended long ago.
+// addRemovals adds the removal of jobs whose retention after the end is over.
 func (t *term) addRemovals(b *batch) {
-	const keysOfJob = 3
-	for id, known := range t.jobs {
-		if len(b.versions)+keysOfJob*(len(b.removed)+1) > maxRecords {
+	const keysPerJob = 3
+	for id, tracked := range t.jobs {
+		if len(b.versions)+keysPerJob*(len(b.removed)+1) > maxRecords {
 			return
 		}
-		if known.endedAt.IsZero() || time.Since(known.endedAt) < endedJobRetention || known.savedVersion < known.version {
+		if tracked.endedAt.IsZero() || time.Since(tracked.endedAt) < endedJobRetention || tracked.savedVersion < tracked.version {
 			continue
 		}
 		b.removed = append(b.removed, id)
--- a/internal/dispatch/campaign.go
+++ b/internal/dispatch/campaign.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// leaseTTL is how long the lead stands without renewal: three times a slow answer of the store, and the longest that
-	// nothing is scheduled after a lead dies.
+	// leaseTTL is the TTL of the leader's lease: three times a slow answer of the store. It also bounds how long nothing is
+	// scheduled after a leader fails.
 	leaseTTL = 1500 * time.Millisecond
-	// renewInterval is how often the lease is renewed.
+	// renewInterval is the time between two renewals of the leader's lease.
 	renewInterval = 400 * time.Millisecond
-	// campaignRetryDelay lies between two attempts to win the lead.
+	// campaignRetryDelay is the time between two attempts to acquire leadership.
 	campaignRetryDelay = 150 * time.Millisecond
-	// unrankedDelay is how long an entry with a whole core waits at least before it stands for the lead where no leader has ranked it; weaker ones wait
-	// longer.
+	// unrankedDelay is the least time that an entry with a whole core waits before it campaigns without a rank; entries
+	// with a smaller share wait longer.
 	unrankedDelay = 30 * time.Millisecond
-	// minStrength is the share of a core below which an entry waits no longer.
+	// minStrength is the share of a core below which the delay of an unranked entry grows no further.
 	minStrength = 0.05
-	// rankDelay is the time in which a candidate wins that is alive and reaches the store; the next one waits for as long.
+	// rankDelay is the time between two ranked candidates: long enough for a live one that reaches the store to win.
 	rankDelay = 40 * time.Millisecond
-	// maxRankDelays is how many candidates stand in turn; the others stand after them, spread over lastSpread.
+	// maxRankDelays is the number of candidates that campaign in turn; the others follow, spread over lowRankSpread.
 	maxRankDelays = 25
 	lowRankSpread = time.Second
-	// rankTTL is how long a rank holds after a leader told it.
+	// rankTTL is how long a rank is valid after a leader sent it.
 	rankTTL = 10 * time.Second
 )
 
-// ranking is the place of an entry among those that may lead next, 0 for none.
+// ranking is the rank of an entry among the candidates, counted from 1, 0 for none.
 type ranking struct {
 	rank  int
 	setAt time.Time
 }
 
-// SetRank stores the place of this entry among those that may lead next, 0 for none.
-func (d *Dispatcher) SetRank(place int) { d.ranking.Store(&ranking{rank: place, setAt: time.Now()}) }
+// SetRank stores the rank of this entry among the candidates, counted from 1, 0 for none.
+func (d *Dispatcher) SetRank(rank int) { d.ranking.Store(&ranking{rank: rank, setAt: time.Now()}) }
 
-// currentRank returns the currentRank of this entry among those that may lead next, 0 where it is not known.
+// currentRank returns the rank of this entry among the candidates: 1 if the leader asked it to take over, 0 if it has no
+// valid rank.
 func (d *Dispatcher) currentRank() int {
 	if d.takeOverRequested() {
 		return 1
@@ -53,19 +54,20 @@
 	return r.rank
 }
 
-// candidateDelay returns how long an entry waits before it stands for the lead, so that not all of a large fleet try at once. The draw is from 0 up
-// to 1.
-func candidateDelay(place int, strength, draw float64) time.Duration {
+// candidateDelay returns how long an entry waits before it campaigns, so that the entries of a large fleet do not all try
+// at once. The jitter is random, from 0 up to 1.
+func candidateDelay(rank int, strength, jitter float64) time.Duration {
 	switch {
-	case place == 0:
-		return time.Duration((1 + draw) * float64(unrankedDelay) / max(strength, minStrength))
-	case place <= maxRankDelays:
-		return time.Duration(place-1) * rankDelay
+	case rank == 0:
+		return time.Duration((1 + jitter) * float64(unrankedDelay) / max(strength, minStrength))
+	case rank <= maxRankDelays:
+		return time.Duration(rank-1) * rankDelay
 	}
-	return maxRankDelays*rankDelay + time.Duration(draw*float64(lowRankSpread))
+	return maxRankDelays*rankDelay + time.Duration(jitter*float64(lowRankSpread))
 }
 
-// campaign waits until nobody leads, or an earlier life of this process does, and returns the new term.
+// campaign waits until there is no leader, the leader may be replaced, or the leader record is from a previous
+// incarnation of this process; then it acquires leadership and returns the new term.
 func (d *Dispatcher) campaign(ctx context.Context) (*term, error) {
 	for ctx.Err() == nil {
 		changed := d.config.Leader.Changed()
@@ -86,7 +88,7 @@
 	return nil, ctx.Err()
 }
 
-// awaitTurn waits until it is this entry's turn to stand for the lead, and reports whether nothing has changed about the lead meanwhile.
+// awaitTurn waits for the entry's candidate delay and reports whether the leader record stayed unchanged meanwhile.
 func (d *Dispatcher) awaitTurn(ctx context.Context, changed <-chan struct{}) bool {
 	turn := time.NewTimer(candidateDelay(d.currentRank(), d.config.Strength, rand.Float64()))
 	defer turn.Stop()
@@ -102,7 +104,7 @@
 
 func (d *Dispatcher) backoffElapsed() bool { return time.Now().UnixMilli() >= d.backoffUntil.Load() }
 
-// tryAcquire tries to win the lead once; the term knows no jobs yet.
+// tryAcquire makes one attempt to acquire leadership; the returned term has not loaded the jobs yet.
 func (d *Dispatcher) tryAcquire(ctx context.Context) (*term, error) {
 	store := d.config.Store
 	held, err := store.Get(ctx, record.LeaderKey)
@@ -112,15 +114,15 @@
 	if held.Revision() != 0 {
 		holder, err := record.DecodeLeader(held.Value())
 		if err != nil {
-			// Somebody else wrote it: nobody leads by it, and the chain fences whoever might.
-			d.logger.Error("the record of the lead cannot be read and is replaced; reason=%v", err)
+			// A foreign writer made this record. No entry leads by it, and the commit condition fences any that might.
+			d.logger.Error("leader record is unreadable and will be replaced; reason=%v", err)
 		}
 		if err == nil && holder.Process != d.config.Node && !d.mayReplace(holder.Epoch) {
 			_, err := d.config.Leader.Refresh(ctx)
-			return nil, fault.New(fault.Conflict, "%s leads (%v)", holder.Process, err)
+			return nil, fault.New(fault.Conflict, "%s is the leader (%v)", holder.Process, err)
 		}
 	}
-	chain, chainRevision, err := readChain(ctx, store)
+	last, lastRevision, err := readChain(ctx, store)
 	if err != nil {
 		return nil, err
 	}
@@ -128,87 +130,88 @@
 	if err != nil {
 		return nil, err
 	}
-	t := newTerm(d, chain.Epoch+FencesPerEpoch, lease)
-	if err := t.acquire(ctx, held.Revision(), chainRevision); err != nil {
+	t := newTerm(d, last.Epoch+FencesPerEpoch, lease)
+	if err := t.acquire(ctx, held.Revision(), lastRevision); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// acquire writes the lead and the beginning of its chain in one transaction.
-func (t *term) acquire(ctx context.Context, held, chain kv.Revision) error {
-	change, err := t.acquireTxn(held, chain)
+// acquire writes the leader record and commit 0 of the term in one transaction, provided that both records still have the
+// given revisions.
+func (t *term) acquire(ctx context.Context, leader, lastCommit kv.Revision) error {
+	txn, err := t.acquireTxn(leader, lastCommit)
 	if err != nil {
 		return err
 	}
-	began := t.now()
-	revision, err := t.store.Commit(ctx, change)
+	askedAt := t.now()
+	revision, err := t.store.Commit(ctx, txn)
 	if fault.Is(err, fault.OutcomeUnknown) {
 		revision, err = t.committedRevision(ctx, 0)
 	}
 	if err != nil {
 		return err
 	}
-	t.chainRevision, t.verifiedAt = revision, began
+	t.chainRevision, t.verifiedAt = revision, askedAt
 	return nil
 }
 
-func (t *term) acquireTxn(held, chain kv.Revision) (kv.Txn, error) {
-	lead, err := t.leaderPut()
+func (t *term) acquireTxn(leader, lastCommit kv.Revision) (kv.Txn, error) {
+	leaderPut, err := t.leaderPut()
 	if err != nil {
 		return kv.Txn{}, err
 	}
-	begin, err := t.chainPut(0)
+	commitPut, err := t.chainPut(0)
 	if err != nil {
 		return kv.Txn{}, err
 	}
 	return kv.Txn{
-		Conditions: []kv.Condition{{Key: record.LeaderKey, Revision: held}, {Key: record.LastCommitKey, Revision: chain}},
-		Puts:       []kv.Put{lead, begin},
+		Conditions: []kv.Condition{{Key: record.LeaderKey, Revision: leader}, {Key: record.LastCommitKey, Revision: lastCommit}},
+		Puts:       []kv.Put{leaderPut, commitPut},
 	}, nil
 }
 
-// leaderPut enters this process as the lead under the term's lease.
+// leaderPut returns the put of the leader record for this process under the term's lease.
 func (t *term) leaderPut() (kv.Put, error) {
 	config := t.dispatcher.config
 	value, err := record.Encode(record.Leader{Process: config.Node, Boot: config.Boot, Address: config.Address, Epoch: t.epoch})
 	return kv.Put{Key: record.LeaderKey, Value: value, Lease: t.lease}, err
 }
 
-// chainPut writes the number of a commit to the chain.
+// chainPut returns the put of the last commit record with a commit number.
 func (t *term) chainPut(commit uint64) (kv.Put, error) {
 	value, err := record.Encode(record.LastCommit{Epoch: t.epoch, Boot: t.dispatcher.config.Boot, Commit: commit})
 	return kv.Put{Key: record.LastCommitKey, Value: value}, err
 }
 
-// readChain returns the last commit of any lead and the revision at which it was written.
+// readChain returns the last commit of any leader and the revision at which it was written.
 func readChain(ctx context.Context, store kv.Store) (record.LastCommit, kv.Revision, error) {
 	item, err := store.Get(ctx, record.LastCommitKey)
 	if err != nil {
 		return record.LastCommit{}, 0, err
 	}
-	chain, err := record.DecodeLastCommit(item.Value())
-	return chain, item.Revision(), err
+	last, err := record.DecodeLastCommit(item.Value())
+	return last, item.Revision(), err
 }
 
-// committedRevision finds out whether a commit of this term is the last that was done, though its answer was lost or its condition
-// failed; Stale says that it is not, so that another leads. Commit 0 is that by which the term began.
+// committedRevision returns the revision of a commit of this term whose answer was lost or whose condition failed. It
+// returns a Stale error if another commit is the last, since then another entry leads. Commit 0 started the term.
 func (t *term) committedRevision(ctx context.Context, commit uint64) (kv.Revision, error) {
-	chain, revision, err := readChain(ctx, t.store)
+	last, revision, err := readChain(ctx, t.store)
 	if err != nil {
 		return 0, err
 	}
-	if chain.Epoch != t.epoch || chain.Boot != t.dispatcher.config.Boot || chain.Commit != commit {
-		return 0, fault.New(fault.Stale, "epoch %d leads", chain.Epoch)
+	if last.Epoch != t.epoch || last.Boot != t.dispatcher.config.Boot || last.Commit != commit {
+		return 0, fault.New(fault.Stale, "the leader has epoch %d", last.Epoch)
 	}
 	return revision, nil
 }
 
-// resign lets the lease go, so that another entry can lead at once.
+// resign ends the leader's lease, so that another entry can take over at once.
 func (t *term) resign() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTTL)
 	defer cancel()
 	if err := t.store.End(ctx, t.lease); err != nil {
-		t.logger.Warn("the lease of the lead could not be given up: %v", err)
+		t.logger.Warn("cannot end the leader's lease: %v", err)
 	}
 }
--- a/internal/dispatch/cycle.go
+++ b/internal/dispatch/cycle.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// minCommitRetryDelay and retryLast bound the pause before a commit is repeated.
+	// minCommitRetryDelay and maxCommitRetryDelay bound the delay before a commit is retried.
 	minCommitRetryDelay = 15 * time.Millisecond
 	maxCommitRetryDelay = 250 * time.Millisecond
 )
 
-// schedule gives up what is lost and places what waits.
+// schedule expires lost workers, stops runs that should restart elsewhere, and places waiting tasks.
 func (t *term) schedule() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,7 +27,7 @@
 	t.placeTasks()
 }
 
-// commitChanges commits what one transaction holds of what changed, and sends the orders that the commit allows.
+// commitChanges commits as many changes as fit one transaction, and sends the orders that wait for that commit.
 func (t *term) commitChanges(ctx context.Context) error {
 	t.mu.Lock()
 	b, err := t.nextBatch()
@@ -44,72 +44,72 @@
 	return t.verifyLeadership(ctx)
 }
 
-// allCommitted reports whether all that changed is committed.
+// allCommitted reports whether no job has uncommitted changes.
 func (t *term) allCommitted() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.dirty) == 0
 }
 
-// commit writes the batch, however often it takes, and then lets its runs start.
+// commit writes a batch, with retries until it succeeds or the term ends, and then starts the runs of the batch.
 func (t *term) commit(ctx context.Context, b *batch) error {
-	pause := minCommitRetryDelay
-	patience := t.commitTimeouts.First()
+	delay := minCommitRetryDelay
+	timeout := t.commitTimeouts.First()
 	for {
-		asked, began := time.Now(), t.now()
-		revision, err := t.commitOnce(ctx, b.txn, patience)
+		askedAt, askedUptime := time.Now(), t.now()
+		revision, err := t.commitOnce(ctx, b.txn, timeout)
 		if fault.Is(err, fault.Conflict) {
 			revision, err = t.committedRevision(ctx, t.commitCount+1)
 		}
-		patience = t.commitTimeouts.Extend(patience)
+		timeout = t.commitTimeouts.Extend(timeout)
 		t.notifyEntries()
 		if err == nil {
-			t.commitTimeouts.Observe(time.Since(asked))
-			t.applyCommit(b, revision, began)
+			t.commitTimeouts.Observe(time.Since(askedAt))
+			t.applyCommit(b, revision, askedUptime)
 			return nil
 		}
 		if fault.Is(err, fault.Stale) || ctx.Err() != nil {
 			return err
 		}
-		t.logger.Warn("a commit is repeated; commit=%d records=%d reason=%v", t.commitCount+1, len(b.versions), err)
+		t.logger.Warn("commit failed and is retried; commit=%d records=%d reason=%v", t.commitCount+1, len(b.versions), err)
 		if fault.Is(err, fault.NotFound) {
-			return fault.Wrap(err, fault.Stale, "the lease of the lead is over")
+			return fault.Wrap(err, fault.Stale, "the leader's lease has expired")
 		}
 		select {
 		case <-ctx.Done():
 		case <-t.storeAnswered:
-			pause, patience = minCommitRetryDelay, t.commitTimeouts.First()
-		case <-time.After(pause):
-			pause = min(2*pause, maxCommitRetryDelay)
+			delay, timeout = minCommitRetryDelay, t.commitTimeouts.First()
+		case <-time.After(delay):
+			delay = min(2*delay, maxCommitRetryDelay)
 		}
 	}
 }
 
 const (
-	// minCommitTimeout and patienceLast bound how long an attempt to commit waits for its answer; a commit is safe to repeat,
-	// and one whose answer is lost holds all placements up.
+	// minCommitTimeout and maxCommitTimeout bound how long one commit attempt waits for its answer: a commit is safe to
+	// retry, and one whose answer is lost delays all placements.
 	minCommitTimeout = 120 * time.Millisecond
 	maxCommitTimeout = 900 * time.Millisecond
 )
 
-// commitOnce attempts a commit with bounded patience.
-func (t *term) commitOnce(ctx context.Context, change kv.Txn, patience time.Duration) (kv.Revision, error) {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+// commitOnce makes one attempt to commit a transaction.
+func (t *term) commitOnce(ctx context.Context, txn kv.Txn, timeout time.Duration) (kv.Revision, error) {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return t.store.Commit(bounded, change)
+	return t.store.Commit(bounded, txn)
 }
 
-// applyCommit takes note of what the store has now.
-func (t *term) applyCommit(b *batch, revision kv.Revision, began boottime.Instant) {
+// applyCommit updates the state of the term after a batch was committed; askedAt is when the attempt began.
+func (t *term) applyCommit(b *batch, revision kv.Revision, askedAt boottime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.chainRevision, t.verifiedAt = revision, began
+	t.chainRevision, t.verifiedAt = revision, askedAt
 	t.commitCount++
 	if b.reacquire {
 		t.leaseReplaced = false
 	}
-	for known, version := range b.versions {
-		known.savedVersion = max(known.savedVersion, version)
+	for tracked, version := range b.versions {
+		tracked.savedVersion = max(tracked.savedVersion, version)
 	}
 	for _, id := range b.removed {
 		maps.DeleteFunc(t.advice, func(s stepID, _ *advice) bool { return s.job == id })
@@ -122,7 +122,7 @@
 	t.committed = make(chan struct{})
 }
 
-// startCommitted orders a run that is committed, or takes it back where its job has ended or its hall was closed meanwhile.
+// startCommitted sends the start of a committed run, or unplaces the run if its job ended or its hall closed meanwhile.
 func (t *term) startCommitted(r batchedRun) {
 	h := t.hosts.get(r.host)
 	if h == nil || h.runs[r.id] == nil || h.runs[r.id].number != r.run {
@@ -135,30 +135,30 @@
 		return
 	}
 	h.removeRun(r.id, r.run)
-	if known := t.jobs[r.id.Job]; known != nil && known.job.Unplace(r.id, r.run) {
-		t.markDirty(known)
+	if tracked := t.jobs[r.id.Job]; tracked != nil && tracked.job.Unplace(r.id, r.run) {
+		t.markDirty(tracked)
 	}
 }
 
-// verifyLeadership confirms that the term still stands where no commit did of late.
+// verifyLeadership confirms by a read of the last commit that no other entry leads, unless a recent commit showed it.
 func (t *term) verifyLeadership(ctx context.Context) error {
 	t.mu.Lock()
-	chain, age := t.chainRevision, t.verificationAge()
+	revision, age := t.chainRevision, t.verificationAge()
 	t.mu.Unlock()
 	if age < verifyInterval {
 		return nil
 	}
-	began := t.now()
+	askedAt := t.now()
 	item, err := t.store.Get(ctx, record.LastCommitKey)
 	if err != nil {
-		t.logger.Warn("the lead could not be confirmed: %v", err)
+		t.logger.Warn("cannot verify leadership: %v", err)
 		return nil
 	}
-	if item.Revision() != chain {
-		return fault.New(fault.Stale, "another entry leads")
+	if item.Revision() != revision {
+		return fault.New(fault.Stale, "another entry is the leader")
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.verifiedAt = began
+	t.verifiedAt = askedAt
 	return nil
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -19,53 +19,53 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// Policies gives the newest configuration and takes one that came from another process.
+// Policies returns the newest configuration and accepts configurations from other processes.
 type Policies interface {
-	// Newest returns the configuration, nil before the first.
+	// Newest returns the newest configuration, nil before there is one.
 	Newest() *policy.Policy
-	// Offer returns the configuration as the store holds it.
+	// Offer returns the newest configuration in its stored form.
 	Offer() link.Offer
-	// Accept keeps an offer unless a newer one is known.
+	// Accept adopts a configuration unless the present one is newer.
 	Accept(offer link.Offer)
 }
 
-// Config holds what a dispatcher needs.
+// Config holds the identity and the dependencies of a dispatcher.
 type Config struct {
 	Node    string
 	Boot    string
 	Address string
-	// Strength is the processor share of the VM; the strongest entry stands first for the lead.
+	// Strength is the processor share of the VM in cores; the entry with the largest share campaigns first.
 	Strength float64
 	Store    kv.Store
-	// Health is what the process knows of its way to the store.
+	// Health tracks whether the process reaches the store.
 	Health   *kv.Health
 	Leader   *follow.Follower[record.Leader]
 	Policies Policies
-	// Closures are the halls that the operators have closed.
+	// Closures tracks the halls that the operators have closed.
 	Closures *hall.Closures
 	Logger   logging.Logger
 	Metrics  *metric.Registry
-	// Advisor knows the workers of advised queues; nil where the platform has none.
+	// Advisor decides about the workers of advised queues; it is nil if the platform has no such service.
 	Advisor Advisor
-	// Uptime is the clock of what the lead permits, which counts suspensions.
+	// Uptime is the clock of agent leases and of leadership; it includes the time that the system was suspended.
 	Uptime boottime.Clock
 }
 
-// Dispatcher leads whenever its process holds the lead.
+// Dispatcher campaigns for leadership and runs the terms of its process.
 type Dispatcher struct {
 	config       Config
 	logger       logging.Logger
 	term         atomic.Pointer[term]
 	done         chan struct{}
 	backoffUntil atomic.Int64
-	// suspectedLeader is the lead that this entry may replace before its lease ends.
+	// suspectedLeader is the leader that this entry may replace before its lease ends.
 	suspectedLeader  atomic.Pointer[suspectedLeader]
 	suspicionChanged chan struct{}
-	// ranking is the place of this entry among those that may lead next, as a leader told it last.
+	// ranking is the rank of this entry among the candidates, as last received from a leader.
 	ranking atomic.Pointer[ranking]
 }
 
-// New returns a dispatcher that does not lead yet.
+// New returns a dispatcher that is not the leader yet.
 func New(config Config) *Dispatcher {
 	d := &Dispatcher{config: config, logger: config.Logger, done: make(chan struct{}), suspicionChanged: make(chan struct{}, 1)}
 	d.registerClosures()
@@ -75,7 +75,7 @@
 // Done returns the channel that is closed when Run has ended.
 func (d *Dispatcher) Done() <-chan struct{} { return d.done }
 
-// IsLeader reports whether this entry leads.
+// IsLeader reports whether this entry is the leader.
 func (d *Dispatcher) IsLeader() bool { return d.term.Load() != nil }
 
 // Register adds the dispatcher's methods to a mux.
@@ -86,14 +86,14 @@
 	rpc.Handle(m, link.MethodState, d.state)
 }
 
-// Run stands for the lead and leads, until ctx ends; then the lead is given up.
+// Run campaigns for leadership and leads until ctx ends; then it resigns.
 func (d *Dispatcher) Run(ctx context.Context) {
 	defer close(d.done)
 	for ctx.Err() == nil {
 		t, err := d.campaign(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
-				d.logger.Warn("the lead was not won: %v", err)
+				d.logger.Warn("campaign failed: %v", err)
 				wait.For(ctx, campaignRetryDelay)
 			}
 			continue
@@ -105,12 +105,12 @@
 func (d *Dispatcher) serveTerm(ctx context.Context, t *term) {
 	d.config.Metrics.Counter("lead.terms").Inc(1)
 	err := t.run(ctx, func() {
-		d.logger.Info("lead taken; epoch=%d jobs=%d load_ms=%d", t.epoch, len(t.jobs), time.Since(t.startedAt).Milliseconds())
+		d.logger.Info("leadership acquired; epoch=%d jobs=%d load_ms=%d", t.epoch, len(t.jobs), time.Since(t.startedAt).Milliseconds())
 		d.term.Store(t)
 	})
 	d.term.Store(nil)
 	t.close()
-	d.logger.Info("lead ended; epoch=%d reason=%v", t.epoch, err)
+	d.logger.Info("leadership ended; epoch=%d reason=%v", t.epoch, err)
 	if ctx.Err() != nil || fault.Is(err, fault.Leaving) {
 		t.resign()
 	}
@@ -119,7 +119,7 @@
 func (d *Dispatcher) currentTerm() (*term, error) {
 	t := d.term.Load()
 	if t == nil {
-		return nil, fault.New(fault.Stale, "this entry does not lead")
+		return nil, fault.New(fault.Stale, "this entry is not the leader")
 	}
 	return t, nil
 }
@@ -149,7 +149,7 @@
 		answer.StoreDown = true
 	case storeReachableByOthers:
 		answer.TakeOver = true
-		t.yield(p.Entry, "the store answers others and not this lead")
+		t.yield(p.Entry, "the store answers other entries and not this leader")
 	case storeReachable:
 		switch {
 		case !t.outranks(p):
@@ -157,12 +157,12 @@
 			answer.Probe = true
 		default:
 			answer.TakeOver = true
-			t.yield(p.Entry, "it is far stronger")
+			t.yield(p.Entry, "it has a much larger processor share")
 		}
 	}
-	if own := d.config.Policies.Offer(); own.Revision != p.Revision {
-		answer.Offer = own
-		if own.Revision < p.Revision {
+	if newest := d.config.Policies.Offer(); newest.Revision != p.Revision {
+		answer.Offer = newest
+		if newest.Revision < p.Revision {
 			answer.Value = nil
 		}
 	}
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,3 +1,3 @@
-// Package dispatch is the part of an entry that may lead: it wins the lead, keeps the jobs, plans, commits each
-// placement before its order leaves, and takes the agents' reports.
+// Package dispatch is the leader role of an entry: it campaigns for leadership, tracks all jobs, schedules their tasks,
+// commits each placement before the start is sent, and handles the agents' reports.
 package dispatch
--- a/internal/dispatch/groups.go
+++ b/internal/dispatch/groups.go
@@ -8,57 +8,57 @@
 )
 
 const (
-	// starvationDelay is how long nothing of a job may run before one of its tasks is placed at any cost.
+	// starvationDelay is how long a job may have no placed task before one of its tasks is placed at any cost.
 	starvationDelay = time.Second
-	// lateFactor times the objective is when a job earns nothing any more.
+	// lateFactor times its objective is the time after which a job has no value.
 	lateFactor = 3
 )
 
-// waitingGroups returns the waiting tasks that may start now.
+// waitingGroups returns the waiting tasks that may start now, grouped by step.
 func (t *term) waitingGroups() []*plan.Group {
 	var groups []*plan.Group
 	now := time.Now()
-	for _, known := range t.jobs {
-		if known.job.State().IsFinal() {
+	for _, tracked := range t.jobs {
+		if tracked.job.State().IsFinal() {
 			continue
 		}
-		known.updateIdle(now)
-		for k := range known.job.Iterations() {
-			if known.job.Spec().Iterations > 0 && now.Before(known.job.Due(k)) {
+		tracked.updateIdle(now)
+		for iteration := range tracked.job.Iterations() {
+			if tracked.job.Spec().Iterations > 0 && now.Before(tracked.job.Due(iteration)) {
 				break
 			}
-			groups = append(groups, t.waitingGroupsOf(known, k, now)...)
+			groups = append(groups, t.waitingGroupsOf(tracked, iteration, now)...)
 		}
 	}
 	return groups
 }
 
-func (t *term) waitingGroupsOf(known *trackedJob, k int, now time.Time) []*plan.Group {
+func (t *term) waitingGroupsOf(tracked *trackedJob, iteration int, now time.Time) []*plan.Group {
 	var groups []*plan.Group
-	queue := t.currentQueue(known)
-	since := known.acceptedAt
-	if known.job.Spec().Iterations > 0 {
-		since = known.job.Due(k)
+	queue := t.currentQueue(tracked)
+	since := tracked.acceptedAt
+	if tracked.job.Spec().Iterations > 0 {
+		since = tracked.job.Due(iteration)
 	}
-	for n := range known.job.Spec().Steps {
-		waiting, held := waitingTasks(known.job, k, n)
-		waiting = known.readyTasks(job.TaskID{Job: known.job.ID(), Iteration: k, Step: n}, waiting, now)
-		if len(waiting) == 0 || !known.job.DependenciesDone(k, n) {
+	for step := range tracked.job.Spec().Steps {
+		waiting, byWorker := waitingTasks(tracked.job, iteration, step)
+		waiting = tracked.readyTasks(job.TaskID{Job: tracked.job.ID(), Iteration: iteration, Step: step}, waiting, now)
+		if len(waiting) == 0 || !tracked.job.DependenciesDone(iteration, step) {
 			continue
 		}
-		need := now.Sub(since) + known.job.RemainingTime(k)
-		objective := known.job.Objective()
-		others, suspects, weight := known.splitSuspects(job.TaskID{Job: known.job.ID(), Iteration: k, Step: n}, waiting, now)
+		expected := now.Sub(since) + tracked.job.RemainingTime(iteration)
+		objective := tracked.job.Objective()
+		others, suspects, score := tracked.splitSuspects(job.TaskID{Job: tracked.job.ID(), Iteration: iteration, Step: step}, waiting, now)
 		group := &plan.Group{
-			Job: known.job, Time: k, StepIndex: n, Step: &known.job.Spec().Steps[n], Service: queue.Service,
-			Indexes: others, TasksByWorker: held, Avoid: known.failedHosts, Priority: queue.Priority,
-			Starved: !known.idleSince.IsZero() && now.Sub(known.idleSince) > starvationDelay,
-			Slack:   objective - need, CutoffSlack: lateFactor*objective - need, Work: known.job.RemainingWork(k),
+			Job: tracked.job, Time: iteration, StepIndex: step, Step: &tracked.job.Spec().Steps[step], Service: queue.Service,
+			Indexes: others, TasksByWorker: byWorker, Avoid: tracked.failedHosts, Priority: queue.Priority,
+			Starved: !tracked.idleSince.IsZero() && now.Sub(tracked.idleSince) > starvationDelay,
+			Slack:   objective - expected, CutoffSlack: lateFactor*objective - expected, Work: tracked.job.RemainingWork(iteration),
 		}
 		t.addTickets(group, queue)
 		if len(suspects) > 0 {
 			alone := *group
-			alone.Indexes, alone.SuspectScore = suspects, weight
+			alone.Indexes, alone.SuspectScore = suspects, score
 			groups = append(groups, &alone)
 		}
 		if len(others) > 0 {
@@ -68,25 +68,25 @@
 	return groups
 }
 
-func waitingTasks(j *job.Job, k, n int) ([]int, map[job.Host]int) {
+func waitingTasks(j *job.Job, iteration, step int) ([]int, map[job.Host]int) {
 	var waiting []int
-	held := make(map[job.Host]int)
-	tasks := j.Tasks(k, n)
+	placed := make(map[job.Host]int)
+	tasks := j.Tasks(iteration, step)
 	for i := range tasks {
 		switch tasks[i].Phase() {
 		case job.Waiting:
 			waiting = append(waiting, i)
 		case job.Placed:
-			held[tasks[i].Host()]++
+			placed[tasks[i].Host()]++
 		case job.Done:
 		}
 	}
-	return waiting, held
+	return waiting, placed
 }
 
-// currentQueue returns the queue as the newest configuration has it.
-func (t *term) currentQueue(known *trackedJob) job.Queue {
-	accepted := known.job.Queue()
+// currentQueue returns the queue of a job by the newest configuration, or as it was accepted if the queue was removed.
+func (t *term) currentQueue(tracked *trackedJob) job.Queue {
+	accepted := tracked.job.Queue()
 	if newest := t.dispatcher.config.Policies.Newest(); newest != nil {
 		if q, ok := newest.Queue(accepted.Name); ok {
 			return q
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -10,10 +10,11 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// inputTiming is how one lead follows the accepted jobs: what waits in an outage is taken a tenth of a second after its end.
+// inputTiming is the timing of the leader's follower of accepted jobs: jobs that wait in an outage of the store are loaded
+// a tenth of a second after its end.
 var inputTiming = follow.Timing{Wait: 1500 * time.Millisecond, Retry: 100 * time.Millisecond}
 
-// watchInputs takes the jobs and cancellations that entries write.
+// watchInputs follows the jobs and cancellations that entries write.
 func (t *term) watchInputs(ctx context.Context) error {
 	t.inputsFollower().Run(ctx, t.inputsRevision)
 	return ctx.Err()
@@ -34,25 +35,25 @@
 		return nil
 	}
 	t.mu.Lock()
-	for _, i := range items {
-		t.addJob(i)
+	for _, item := range items {
+		t.addJob(item)
 	}
-	for _, i := range items {
-		t.applyCancel(i)
+	for _, item := range items {
+		t.applyCancel(item)
 	}
 	t.mu.Unlock()
 	t.wakeUp()
 	return nil
 }
 
-func (t *term) addJob(i kv.Item) {
-	id, ok := record.ParseJobKey(i.Key())
+func (t *term) addJob(item kv.Item) {
+	id, ok := record.ParseJobKey(item.Key())
 	if !ok || t.jobs[id] != nil {
 		return
 	}
-	decoded, err := job.Decode(id, i.Value())
+	decoded, err := job.Decode(id, item.Value())
 	if err != nil {
-		t.logger.Error("an accepted job cannot be read; job=%s reason=%v", id, err)
+		t.logger.Error("record of an accepted job is unreadable; job=%s reason=%v", id, err)
 		return
 	}
 	t.jobs[id] = newTracked(decoded)
@@ -65,44 +66,45 @@
 	}
 }
 
-// localAcceptTime returns when a job was accepted by this clock, which may differ from the entry's.
+// localAcceptTime returns when a job was accepted by the local clock. An age that is negative or above five minutes is
+// taken for a clock that differs, and the job for accepted now.
 func localAcceptTime(accepted time.Time) time.Time {
-	const likely = 5 * time.Minute
+	const maxAge = 5 * time.Minute
 	now := time.Now()
 	age := now.Sub(accepted)
-	if age < 0 || age > likely {
+	if age < 0 || age > maxAge {
 		return now
 	}
 	return now.Add(-age)
 }
 
-func (t *term) applyCancel(i kv.Item) {
-	id, ok := record.ParseCancelKey(i.Key())
+func (t *term) applyCancel(item kv.Item) {
+	id, ok := record.ParseCancelKey(item.Key())
 	if !ok {
 		return
 	}
-	known := t.jobs[id]
-	if known == nil || !known.job.Cancel() {
+	tracked := t.jobs[id]
+	if tracked == nil || !tracked.job.Cancel() {
 		return
 	}
 	t.logger.Info("job canceled; job=%s", id)
-	t.stopRuns(known)
-	t.markDirty(known)
+	t.stopRuns(tracked)
+	t.markDirty(tracked)
 }
 
-// markDirty takes note that a job changed and has to be committed.
-func (t *term) markDirty(known *trackedJob) {
-	known.version++
-	if _, waits := t.dirty[known.job.ID()]; !waits {
+// markDirty records that a job changed and has to be committed.
+func (t *term) markDirty(tracked *trackedJob) {
+	tracked.version++
+	if _, dirty := t.dirty[tracked.job.ID()]; !dirty {
 		t.changeCount++
-		t.dirty[known.job.ID()] = t.changeCount
+		t.dirty[tracked.job.ID()] = t.changeCount
 	}
 }
 
-// stopRuns begins to stop what still runs of a job that ended.
-func (t *term) stopRuns(known *trackedJob) {
-	known.endedAt = time.Now()
-	known.job.Each(func(id job.TaskID, task *job.Task) {
+// stopRuns requests the stop of all remaining runs of a job that ended.
+func (t *term) stopRuns(tracked *trackedJob) {
+	tracked.endedAt = time.Now()
+	tracked.job.Each(func(id job.TaskID, task *job.Task) {
 		if task.Phase() == job.Placed {
 			t.requestStop(id, task)
 		}
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -8,24 +8,25 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// loadLogInterval is how often the lead logs its load: often enough to see a wave of work, and one line in two seconds costs nothing.
+// loadLogInterval is the time between two log lines about the load: short enough to show a burst of work, at a negligible cost.
 const loadLogInterval = 2 * time.Second
 
-// millisPerCore is how many parts of a core a size counts.
+// millisPerCore is the number of units of a CPU size in one core.
 const millisPerCore = 1000
 
-// load sums up what waits, what runs and what the workers have left.
+// load sums up the waiting tasks, the running tasks and the use of the workers.
 type load struct {
-	// waiting tasks are short ones, lasting ones and those that will fill, which are of batchJobs jobs.
+	// waitingShort, waitingLongRunning and waitingBatch count the waiting tasks; the last are best-effort ones of batchJobs jobs.
 	waitingShort, waitingLongRunning, waitingBatch int
 	batchJobs                                      int
-	// capacity and the next are thousandths of a core: of the workers, declared by what serves, requested for and in use by what fills.
+	// capacity of the workers, reservations of serving tasks, and requests and use of best-effort tasks, in thousandths of a core.
 	capacity, serving, requested, used int
-	// filling counts the tasks that fill, throttled those of them that are paced down, overTarget the serving tasks overTarget their targets.
+	// filling counts the best-effort tasks, throttled those below full pace, served the serving tasks, overTarget those above
+	// their latency target.
 	filling, throttled, served, overTarget int
 }
 
-// currentLoad returns the load, without what waits.
+// currentLoad returns the load without the waiting tasks.
 func (t *term) currentLoad() load {
 	var l load
 	for _, h := range t.hosts.all() {
@@ -34,7 +35,7 @@
 	return l
 }
 
-// logLoad logs the load, with what waits, now and then.
+// logLoad logs the load with the waiting tasks, at most once in loadLogInterval.
 func (t *term) logLoad(l load, groups []*plan.Group) {
 	if time.Since(t.loadLoggedAt) < loadLogInterval {
 		return
@@ -48,24 +49,24 @@
 		l.filling, l.throttled, l.requested/millisPerCore, l.used/millisPerCore, l.served, l.overTarget, t.backlog.level)
 }
 
-// addWaiting counts the tasks that wait, and the jobs that those of them belong to which will fill.
+// addWaiting counts the waiting tasks, and the jobs of the best-effort ones.
 func (l *load) addWaiting(groups []*plan.Group) {
-	batch := make(map[job.ID]bool)
+	jobs := make(map[job.ID]bool)
 	for _, g := range groups {
 		switch {
 		case g.Step.LongRunning:
 			l.waitingLongRunning += len(g.Indexes)
 		case g.Step.BestEffort:
 			l.waitingBatch += len(g.Indexes)
-			batch[g.Job.ID()] = true
+			jobs[g.Job.ID()] = true
 		default:
 			l.waitingShort += len(g.Indexes)
 		}
 	}
-	l.batchJobs = len(batch)
+	l.batchJobs = len(jobs)
 }
 
-// addWorker counts a worker and what is placed there.
+// addWorker counts a worker and the runs placed there.
 func (l *load) addWorker(h *hostState) {
 	l.capacity += h.worker.Capacity.CPU
 	l.serving += h.worker.ServingCPU
--- a/internal/dispatch/losses.go
+++ b/internal/dispatch/losses.go
@@ -9,34 +9,35 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// unreachable is an incarnation of a worker that is unreachable, with the runs for which that was counted as a loss.
+// unreachable is an unreachable incarnation of a worker, with the runs that were counted as lost when it became so.
 type unreachable struct {
 	since time.Time
 	runs  []link.Run
 }
 
-// countLosses counts the runs of an incarnation that has ended as lost, by what its agent reports or, with no crash reported, by what the leader
-// has seen itself.
-func (t *term) countLosses(a *agent, h *hostState, told *link.Crash) {
+// countLosses counts the runs of an ended incarnation as lost, by the crash report of its agent or, if there is none, by the
+// leader's own observations.
+func (t *term) countLosses(a *agent, h *hostState, report *link.Crash) {
 	h.ended, h.worker.Schedulable = true, false
-	if told == nil && len(h.runs) > 0 && !h.draining {
+	if report == nil && len(h.runs) > 0 && !h.draining {
 		t.dispatcher.config.Metrics.Counter("lead.untold_crashes").Inc(1)
 		t.logger.Warn("worker incarnation ended without a crash report; vm=%s instance=%s runs=%d",
 			h.worker.Host.VM, h.worker.Host.Incarnation, len(h.runs))
-		seen := h.observedCrash()
-		t.attributeCrash(a, seen.Incarnation(), t.suspectRuns(seen))
+		observed := h.observedCrash()
+		t.attributeCrash(a, observed.Incarnation(), t.suspectRuns(observed))
 	}
-	ages, shared := runAges(told), t.simultaneousCrashes(a) >= minSimultaneousLosses
+	ages, shared := runAges(report), t.simultaneousCrashes(a) >= minSimultaneousLosses
 	t.recordLosses(h, func(run link.Run) (crash.Loss, bool) {
-		if told == nil {
+		if report == nil {
 			return h.findRun(run).observedLoss(shared), true
 		}
-		age, had := ages[run]
-		return crash.ReportedLoss(age, shared), had
+		age, ran := ages[run]
+		return crash.ReportedLoss(age, shared), ran
 	})
 }
 
-// observedLoss returns the loss of a run of which no agent tells: the lead that ordered it has seen for how long it lived.
+// observedLoss returns the loss of a run without a crash report, by how long the leader saw it run; the lifetime is unknown
+// if another leader started it.
 func (p *placedRun) observedLoss(shared bool) crash.Loss {
 	if p.startSentAt.IsZero() {
 		return crash.UnreportedLoss()
@@ -44,21 +45,21 @@
 	return crash.ReportedLoss(p.minimumLifetime(), shared)
 }
 
-// observedCrash returns what the leader itself saw of the runs of an incarnation that has ended.
+// observedCrash returns a crash report built from the leader's own observations of an ended incarnation.
 func (h *hostState) observedCrash() link.Crash {
 	id := h.worker.Host.Incarnation
-	seen := link.Crash{Instance: id.Worker(), StartMillis: id.StartMillis()}
+	observed := link.Crash{Instance: id.Worker(), StartMillis: id.StartMillis()}
 	for _, task := range h.sortedRuns() {
 		if p := h.runs[task]; p.committed {
-			seen.Runs = append(seen.Runs, link.CrashedRun{
+			observed.Runs = append(observed.Runs, link.CrashedRun{
 				Run: link.NewRun(task, p.number), Answered: p.survivedStart, AgeMillis: p.minimumLifetime().Milliseconds(),
 			})
 		}
 	}
-	return seen
+	return observed
 }
 
-// markUnreachable takes back the runs of an incarnation whose lease has lapsed, whether its worker crashed or not.
+// markUnreachable counts all runs of an incarnation whose agent lease has expired as lost, whether its worker crashed or not.
 func (t *term) markUnreachable(h *hostState, reason string) {
 	runs := t.recordLosses(h, func(link.Run) (crash.Loss, bool) { return crash.UnreachableLoss(), true })
 	for _, id := range h.runsWhere(func(p *placedRun) bool { return p.committed && p.reportedAt.IsZero() }) {
@@ -70,93 +71,94 @@
 	t.recordLostRuns(h, h.sortedRuns(), reason)
 }
 
-// recordLosses counts the runs of a life as lost, so that a task is not started for ever of whose crashes nobody tells, or which is cleared of
-// each. It returns those that were counted; lost tells how a run was, if the life had it. What leaves by plan and what was never
-// ordered is not lost so.
-func (t *term) recordLosses(h *hostState, lost func(link.Run) (crash.Loss, bool)) []link.Run {
+// recordLosses counts the runs of an incarnation as lost and returns those that were counted. It bounds the starts of a
+// task whose crashes stay unreported or are never attributed to it. lossOf returns how a run was lost, false if the
+// incarnation never had it. Runs of a draining worker and runs that were never ordered do not count.
+func (t *term) recordLosses(h *hostState, lossOf func(link.Run) (crash.Loss, bool)) []link.Run {
 	if h.draining {
 		return nil
 	}
 	var counted []link.Run
 	for _, id := range h.sortedRuns() {
-		p, known := h.runs[id], t.jobs[id.Job]
+		p, tracked := h.runs[id], t.jobs[id.Job]
 		run := link.NewRun(id, p.number)
-		loss, had := lost(run)
-		if known == nil || !p.committed || !had || !known.job.RecordLoss(id, p.number, loss) {
+		loss, ran := lossOf(run)
+		if tracked == nil || !p.committed || !ran || !tracked.job.RecordLoss(id, p.number, loss) {
 			continue
 		}
 		counted = append(counted, run)
-		t.lossesChanged(known, id)
+		t.lossesChanged(tracked, id)
 	}
 	t.dispatcher.config.Metrics.Counter("lead.lost_runs").Inc(int64(len(counted)))
 	return counted
 }
 
-// lossesChanged takes note that the losses of a task have changed, which may be spent.
-func (t *term) lossesChanged(known *trackedJob, id job.TaskID) {
-	losses := known.job.Suspicion(id).Losses()
-	t.suspicionChanged(known, fmt.Sprintf("the workers of a task of it are lost each time; task=%s lost=%d crashed=%d alike=%d blind=%d",
+// lossesChanged saves the changed losses of a task, whose job may be given up for them.
+func (t *term) lossesChanged(tracked *trackedJob, id job.TaskID) {
+	losses := tracked.job.Suspicion(id).Losses()
+	t.suspicionChanged(tracked, fmt.Sprintf("one of its tasks was lost with its workers too often; task=%s lost=%d crashed=%d alike=%d blind=%d",
 		id, losses.Total(), losses.Crashed(), losses.Similar(), losses.UnknownLifetime()))
 }
 
-// resolveUnreachable records what became of the unreachable incarnations of a VM's worker, now that its agent reports: the present one has not
-// crashed, and another one has.
+// resolveUnreachable resolves the losses of the unreachable incarnations of a VM's worker once its agent reports again: the
+// present incarnation has not crashed, any other one has.
 func (t *term) resolveUnreachable(current job.Host) {
-	for host, life := range t.unreachable {
+	for host, incarnation := range t.unreachable {
 		if host.VM == current.VM {
 			delete(t.unreachable, host)
-			t.resolveRuns(life.runs, func(link.Run) bool { return host != current })
+			t.resolveRuns(incarnation.runs, func(link.Run) bool { return host != current })
 		}
 	}
 }
 
-// resolveReported takes note that a worker has crashed of which an agent tells, also where an earlier lead lost sight of it.
-func (t *term) resolveReported(vm string, told link.Crash) {
-	host, ages := job.Host{VM: vm, Incarnation: told.Incarnation()}, runAges(&told)
+// resolveReported resolves the losses of an incarnation whose crash is reported, also those that a previous leader counted
+// when it became unreachable.
+func (t *term) resolveReported(vm string, report link.Crash) {
+	host, ages := job.Host{VM: vm, Incarnation: report.Incarnation()}, runAges(&report)
 	runs := t.unreachable[host].runs
 	delete(t.unreachable, host)
-	for _, r := range told.Runs {
+	for _, r := range report.Runs {
 		runs = append(runs, r.Run)
 	}
 	t.resolveRuns(runs, func(run link.Run) bool {
-		_, had := ages[run]
-		return had
+		_, ran := ages[run]
+		return ran
 	})
 }
 
-// resolveRuns takes note of which runs that were lost sight of were lost by a crash, and which were not lost.
+// resolveRuns records for runs of an unreachable incarnation whether a crash ended them or they were not lost.
 func (t *term) resolveRuns(runs []link.Run, crashed func(link.Run) bool) {
 	for _, run := range runs {
-		known := t.jobOf(run)
-		if id, _ := run.TaskID(); known != nil && known.job.ResolveLoss(id, run.Number, crashed(run)) {
-			t.lossesChanged(known, id)
+		tracked := t.jobOf(run)
+		if id, _ := run.TaskID(); tracked != nil && tracked.job.ResolveLoss(id, run.Number, crashed(run)) {
+			t.lossesChanged(tracked, id)
 		}
 	}
 }
 
-// resolveEnded takes note that a worker lists the end of a run, so that it has not crashed under it.
+// resolveEnded records that a run was not lost, since its worker reports its end.
 func (t *term) resolveEnded(id job.TaskID, run int) {
-	if known := t.jobs[id.Job]; known != nil && known.job.ResolveLoss(id, run, false) {
-		t.markDirty(known)
+	if tracked := t.jobs[id.Job]; tracked != nil && tracked.job.ResolveLoss(id, run, false) {
+		t.markDirty(tracked)
 	}
 }
 
-// expireUnreachable forgets the lives of VMs that never came back.
+// expireUnreachable removes unreachable incarnations after the retention of ended jobs.
 func (t *term) expireUnreachable(now time.Time) {
-	for host, life := range t.unreachable {
-		if now.Sub(life.since) > endedJobRetention {
+	for host, incarnation := range t.unreachable {
+		if now.Sub(incarnation.since) > endedJobRetention {
 			delete(t.unreachable, host)
 		}
 	}
 }
 
-// runAges returns the runs that a life had by what its agent tells, with for how long.
-func runAges(told *link.Crash) map[link.Run]time.Duration {
+// runAges returns the age of each run in a crash report; nil stands for no report.
+func runAges(report *link.Crash) map[link.Run]time.Duration {
 	ages := make(map[link.Run]time.Duration)
-	if told == nil {
+	if report == nil {
 		return ages
 	}
-	for _, r := range told.Runs {
+	for _, r := range report.Runs {
 		ages[r.Run] = time.Duration(r.AgeMillis) * time.Millisecond
 	}
 	return ages
--- a/internal/dispatch/moves.go
+++ b/internal/dispatch/moves.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// slowPace is the pace in percent up to which a task that fills hardly gets on.
+	// slowPace is the pace in percent up to which a best-effort task makes hardly any progress.
 	slowPace = 15
-	// maxSlowDuration is how long it may be that slow before it is moved to a worker that it suits.
+	// maxSlowDuration is how long a task may stay at slowPace before it is moved, if another worker suits it.
 	maxSlowDuration = 1200 * time.Millisecond
-	// maxMoves bounds the moves of one plan; the next plan sees their effect.
+	// maxMoves bounds the moves in one plan, so that the next plan takes their effect into account.
 	maxMoves = 2
 )
 
-// recordPace takes note of the pace of a task.
+// recordPace records the pace of a task and since when it is slow.
 func (p *placedRun) recordPace(pace int) {
 	p.pace = pace
 	switch {
@@ -28,7 +28,7 @@
 	}
 }
 
-// recountUsage reckons what serves and what fills on a worker anew, by the paces of the latest report.
+// recountUsage recomputes the reserved and the best-effort CPU of a worker by the paces of its last report.
 func (h *hostState) recountUsage() {
 	h.worker.Reset()
 	for _, p := range h.runs {
@@ -36,7 +36,7 @@
 	}
 }
 
-// cpuAtPace returns the thousandths of a core that a task may use at its pace.
+// cpuAtPace returns the CPU in thousandths of a core that a task may use at its pace.
 func (p *placedRun) cpuAtPace() int {
 	if p.step.BestEffort {
 		return p.step.Size.CPU * p.pace / pacing.Full
@@ -44,7 +44,7 @@
 	return p.step.Size.CPU
 }
 
-// moveThrottled stops some tasks that are paced down and save their progress, where another worker would suit them.
+// moveThrottled stops some throttled tasks that save checkpoints, if another worker suits them.
 func (t *term) moveThrottled(planner *plan.Planner) {
 	moves := 0
 	for _, h := range t.hosts.all() {
@@ -54,35 +54,36 @@
 				return
 			}
 			p := h.runs[id]
-			known := t.jobs[id.Job]
-			if known == nil || known.job.State().IsFinal() || !t.suitedElsewhere(planner, host, id, p) {
+			tracked := t.jobs[id.Job]
+			if tracked == nil || tracked.job.State().IsFinal() || !t.suitedElsewhere(planner, host, id, p) {
 				continue
 			}
 			moves++
-			t.logger.Info("task is moved from where it is paced down; task=%s run=%d vm=%s pace=%d", id, p.number, host.VM, p.pace)
-			known.failedHosts[host] = true
+			t.logger.Info("throttled task is moved to another worker; task=%s run=%d vm=%s pace=%d", id, p.number, host.VM, p.pace)
+			tracked.failedHosts[host] = true
 			t.stopRun(host, id, p)
 		}
 	}
 }
 
-// suitedElsewhere reports whether another worker than its own would suit a task.
+// suitedElsewhere reports whether a worker other than its own suits a task.
 func (t *term) suitedElsewhere(planner *plan.Planner, host job.Host, id job.TaskID, p *placedRun) bool {
-	known := t.jobs[id.Job]
+	tracked := t.jobs[id.Job]
 	group := &plan.Group{
-		Job: known.job, Time: id.Iteration, StepIndex: id.Step, Step: p.step, Service: t.currentQueue(known).Service,
+		Job: tracked.job, Time: id.Iteration, StepIndex: id.Step, Step: p.step, Service: t.currentQueue(tracked).Service,
 		TasksByWorker: map[job.Host]int{}, Avoid: map[job.Host]bool{host: true},
 	}
 	return planner.HasSuitableWorker(group)
 }
 
-// movableThrottled reports whether a task has been paced down for long and loses little by a move.
+// movableThrottled reports whether a task has been throttled for long and loses little progress by a move.
 func (p *placedRun) movableThrottled() bool {
 	return p.step.BestEffort && p.step.Checkpoints && !p.step.Gang && p.committed && !p.stopping &&
 		!p.slowSince.IsZero() && time.Since(p.slowSince) > maxSlowDuration
 }
 
-// moveFromDraining stops what loses nothing by it on workers that leave, so that it starts elsewhere before they are gone.
+// moveFromDraining stops long-running and checkpointed tasks on draining workers, so that they restart elsewhere before the
+// worker is gone; such tasks lose no progress by it.
 func (t *term) moveFromDraining() {
 	for _, h := range t.hosts.all() {
 		if !h.draining {
@@ -95,7 +96,7 @@
 			if !p.committed || p.stopping || !losesNothing || p.step.Gang {
 				continue
 			}
-			t.logger.Info("task is moved from a worker that leaves; task=%s run=%d vm=%s", id, p.number, host.VM)
+			t.logger.Info("task is moved from a draining worker; task=%s run=%d vm=%s", id, p.number, host.VM)
 			t.stopRun(host, id, p)
 		}
 	}
--- a/internal/dispatch/planning.go
+++ b/internal/dispatch/planning.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// maxReportAge is how old a report may be for new tasks to be placed on its worker: two reports that did not come.
+	// maxReportAge is the age of the last report from which no new tasks are placed on a worker: two missed reports.
 	maxReportAge = 1300 * time.Millisecond
-	// probationFailures is how many failures in a row close a worker but for a trial.
+	// probationFailures is the number of consecutive failures from which a worker gets one task at a time.
 	probationFailures = 3
-	// stallTimeout is how long a task may stand still at full pace before it is started elsewhere; stuckSeen is the same where
-	// stuckFigures in a row have shown it.
+	// stallTimeout is how long a task may make no progress at full pace before it is restarted elsewhere;
+	// observedStallTimeout applies instead once stallSamples consecutive samples show no progress.
 	stallTimeout         = 2500 * time.Millisecond
 	observedStallTimeout = 1300 * time.Millisecond
 	stallSamples         = 3
-	// stallEstimateShare of its estimate is how long a task may stand still in any case, since progress is told in hundredths.
+	// stallEstimateShare is the share of its estimate for which a task may make no progress in any case, since progress is
+	// reported in percent.
 	stallEstimateShare = 0.05
 )
 
-// expireWorkers gives up the workers whose permission is over.
+// expireWorkers marks workers unreachable after the expiry of the agent lease, and unschedulable after maxReportAge.
 func (t *term) expireWorkers() {
 	now := time.Now()
 	t.expireUnreachable(now)
@@ -35,42 +36,42 @@
 				t.markUnreachable(h, "its agent does not report")
 			}
 		case now.Sub(t.startedAt) > leaderTimeout+agentLeaseMargin:
-			t.markUnreachable(h, "its agent never reported to this lead")
+			t.markUnreachable(h, "its agent never reported to this leader")
 		}
 	}
 }
 
-// stopStalled stops tasks that stand still, so that they start again elsewhere.
+// stopStalled stops stalled runs, so that their tasks restart elsewhere.
 func (t *term) stopStalled() {
 	for _, h := range t.hosts.all() {
 		host := h.worker.Host
 		for _, id := range h.runsWhere((*placedRun).stalled) {
 			p := h.runs[id]
-			known := t.jobs[id.Job]
-			if known == nil || !h.worker.Schedulable {
+			tracked := t.jobs[id.Job]
+			if tracked == nil || !h.worker.Schedulable {
 				continue
 			}
-			t.logger.Info("task stands still and is stopped; task=%s run=%d vm=%s percent=%d", id, p.number, host.VM, p.percent)
-			known.failedHosts[host] = true
+			t.logger.Info("stalled task is stopped; task=%s run=%d vm=%s percent=%d", id, p.number, host.VM, p.percent)
+			tracked.failedHosts[host] = true
 			h.consecutiveFailures++
 			t.stopRun(host, id, p)
 		}
 	}
 }
 
-// stalled reports whether a run that should get on has not for long.
+// stalled reports whether a run of finite duration has made no progress for too long.
 func (p *placedRun) stalled() bool {
 	if p.step.LongRunning || !p.committed || p.stopping || p.startSentAt.IsZero() {
 		return false
 	}
-	patience := stallTimeout
+	timeout := stallTimeout
 	if p.stalledSamples >= stallSamples {
-		patience = observedStallTimeout
+		timeout = observedStallTimeout
 	}
-	return time.Since(p.progressedAt) >= max(patience, time.Duration(stallEstimateShare*float64(p.step.Estimate)))
+	return time.Since(p.progressedAt) >= max(timeout, time.Duration(stallEstimateShare*float64(p.step.Estimate)))
 }
 
-// placeTasks places what waits; the placements count once they are committed.
+// placeTasks places waiting tasks; a placement takes effect once it is committed.
 func (t *term) placeTasks() {
 	groups := t.waitingGroups()
 	workers := make([]*plan.Worker, 0, t.hosts.len())
@@ -94,16 +95,16 @@
 		return
 	}
 	for _, p := range planner.Place(groups) {
-		known := t.jobs[p.Task.Job]
-		run := known.job.Place(p.Task, p.Host, p.Run)
+		tracked := t.jobs[p.Task.Job]
+		run := tracked.job.Place(p.Task, p.Host, p.Run)
 		t.hosts.get(p.Host).runs[p.Task] = &placedRun{step: p.Step, number: run, placedAt: time.Now(), progressedAt: time.Now(), pace: pacing.Full, startedAlone: p.Suspect}
-		delete(known.suspectedSince, p.Task)
-		t.logger.Info("task placed; task=%s run=%d vm=%s waited_ms=%d", p.Task, run, p.Host.VM, time.Since(known.acceptedAt).Milliseconds())
-		t.markDirty(known)
+		delete(tracked.suspectedSince, p.Task)
+		t.logger.Info("task placed; task=%s run=%d vm=%s waited_ms=%d", p.Task, run, p.Host.VM, time.Since(tracked.acceptedAt).Milliseconds())
+		t.markDirty(tracked)
 	}
 }
 
-// placementLimit returns how many tasks may be placed on a worker that failed several times.
+// placementLimit returns how many tasks may be placed on a worker at once: one after repeated failures, else any number.
 func (h *hostState) placementLimit() int {
 	switch {
 	case h.consecutiveFailures < probationFailures:
@@ -114,7 +115,7 @@
 	return 1
 }
 
-// runsFiniteTask reports whether a task that ends by itself runs here.
+// runsFiniteTask reports whether a task that is not long-running runs on the worker.
 func (h *hostState) runsFiniteTask() bool {
 	for _, p := range h.runs {
 		if !p.step.LongRunning {
--- a/internal/dispatch/savedmodel.go
+++ b/internal/dispatch/savedmodel.go
@@ -8,31 +8,31 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// modelSaveInterval is how often what was learned is stored, beside a commit that is made anyway: a few hundred bytes that
-// spare the next lead some ten seconds of harm.
+// modelSaveInterval is the least time between two saves of the interference model, each part of a commit of jobs: a few
+// hundred bytes, without which the next leader places tasks that interfere for some ten seconds.
 const modelSaveInterval = 3 * time.Second
 
-// addModel adds what was learned of pressures to a batch that is written anyway.
+// addModel adds the interference model to a batch that commits jobs, if its save is due.
 func (t *term) addModel(b *batch) {
 	if time.Since(t.learnedSavedAt) < modelSaveInterval || len(b.versions) == 0 {
 		return
 	}
 	value, err := t.pressure.Encode()
 	if err != nil {
-		t.logger.Error("what was learned cannot be encoded: %v", err)
+		t.logger.Error("cannot encode the interference model: %v", err)
 		return
 	}
 	t.learnedSavedAt = time.Now()
 	b.txn.Puts = append(b.txn.Puts, kv.Put{Key: record.PressureKey, Value: value})
 }
 
-// loadModel takes over what the last lead had learned; without it the term learns anew.
+// loadModel restores the interference model that the previous leader saved; if that fails, the term starts with an empty one.
 func (t *term) loadModel(ctx context.Context) {
 	item, err := t.store.Get(ctx, record.PressureKey)
 	if err == nil && item.Revision() > 0 {
 		err = t.pressure.Restore(item.Value())
 	}
 	if err != nil {
-		t.logger.Warn("what the last lead had learned is not taken over: %v", err)
+		t.logger.Warn("cannot restore the saved interference model: %v", err)
 	}
 }
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// maxSuspectWait is how long a suspect waits for a worker where nothing else has just begun; then it starts as all others
-	// do, so that a job never waits for the proof of its innocence for as long as callers would notice.
+	// maxSuspectWait is how long a suspect waits for a worker without other starting tasks; then it starts like any other
+	// task, so that callers do not notice the delay.
 	maxSuspectWait = 1500 * time.Millisecond
-	// reserveDivisor is the divisor of the open workers of which so many may be kept for suspects at once.
+	// reserveDivisor is the divisor of the number of schedulable workers that gives how many may be reserved for suspects at
+	// once.
 	reserveDivisor = 2
 )
 
-// recordStartupSurvival takes note that a run has outlived its start, and drops what is held against its task.
+// recordStartupSurvival records that a run has survived its startup time, which updates the crash history of its task.
 func (t *term) recordStartupSurvival(h *hostState, id job.TaskID, p *placedRun) {
 	if !p.survivedStart {
 		p.survivedStart, p.survivedStartAt = true, time.Now()
 		t.wakeUp()
 	}
-	known := t.jobs[id.Job]
-	if known == nil || p.step.Gang && !t.gangSurvivedStartup(known, id) {
+	tracked := t.jobs[id.Job]
+	if tracked == nil || p.step.Gang && !t.gangSurvivedStartup(tracked, id) {
 		return
 	}
-	if known.job.RecordRunAge(id, p.number, crash.StartupTime+time.Since(p.survivedStartAt)) {
-		t.logger.Info("task has outlived its start after a crash; task=%s run=%d vm=%s", id, p.number, h.worker.Host.VM)
-		known.unsavedCheckpoints = true
+	if tracked.job.RecordRunAge(id, p.number, crash.StartupTime+time.Since(p.survivedStartAt)) {
+		t.logger.Info("suspect task survived its startup; task=%s run=%d vm=%s", id, p.number, h.worker.Host.VM)
+		tracked.unsavedCheckpoints = true
 	}
 }
 
-// gangSurvivedStartup reports whether all members of a gang have outlived their start: one that crashes its worker leaves the others
-// alive for a while.
-func (t *term) gangSurvivedStartup(known *trackedJob, member job.TaskID) bool {
-	tasks := known.job.Tasks(member.Iteration, member.Step)
+// gangSurvivedStartup reports whether all members of a gang have survived their startup: a member that crashes its worker
+// leaves the others running for a while.
+func (t *term) gangSurvivedStartup(tracked *trackedJob, member job.TaskID) bool {
+	tasks := tracked.job.Tasks(member.Iteration, member.Step)
 	for member.Index = range tasks {
 		h := t.hosts.get(tasks[member.Index].Host())
 		if h == nil || h.runs[member] == nil || !h.runs[member].survivedStart {
@@ -47,7 +48,7 @@
 	return true
 }
 
-// countUnproven tells the plan which workers have runs that have not outlived their start.
+// countUnproven counts the runs on the worker that have not survived their startup, and clears its reservation for a suspect.
 func (h *hostState) countUnproven() {
 	w := &h.worker
 	w.Starting, w.SuspectStarting, w.ReservedForSuspect = 0, false, false
@@ -59,8 +60,8 @@
 	}
 }
 
-// reserveForSuspects keeps some open workers of each service for the suspects that wait for it, those first on which least serves: no
-// other task starts there until the suspects have.
+// reserveForSuspects reserves some schedulable workers of each service for its waiting suspects, those with the least
+// serving CPU first: no other task starts there before the suspects.
 func reserveForSuspects(workers []*plan.Worker, groups []*plan.Group) {
 	wanted := make(map[string]int)
 	for _, g := range groups {
@@ -73,35 +74,35 @@
 	}
 }
 
-// reserveWorkers keeps some open workers of a service.
+// reserveWorkers reserves some schedulable workers of a service for suspects.
 func reserveWorkers(workers []*plan.Worker, service string, wanted int) {
-	var open []*plan.Worker
+	var candidates []*plan.Worker
 	for _, w := range workers {
 		if w.Schedulable && !w.HallClosed && !w.SuspectStarting && w.Service == service {
-			open = append(open, w)
+			candidates = append(candidates, w)
 		}
 	}
-	slices.SortStableFunc(open, func(a, b *plan.Worker) int { return cmp.Compare(a.ServingCPU, b.ServingCPU) })
-	for _, w := range open[:min(wanted, len(open)/reserveDivisor)] {
+	slices.SortStableFunc(candidates, func(a, b *plan.Worker) int { return cmp.Compare(a.ServingCPU, b.ServingCPU) })
+	for _, w := range candidates[:min(wanted, len(candidates)/reserveDivisor)] {
 		w.ReservedForSuspect = true
 	}
 }
 
-// splitSuspects returns the waiting tasks of a step that may start beside others, and those that are to start alone, with how
-// much is held against these.
-func (k *trackedJob) splitSuspects(id job.TaskID, waiting []int, now time.Time) (others, suspects []int, weight int) {
+// splitSuspects returns the waiting tasks of a step that may start together with others, and the suspects that start alone
+// with their highest suspicion score.
+func (k *trackedJob) splitSuspects(id job.TaskID, waiting []int, now time.Time) (others, suspects []int, score int) {
 	for _, id.Index = range waiting {
-		held := k.job.Suspicion(id)
-		if !held.Suspect() || !k.waitsForOwnWorker(id, now) {
+		suspicion := k.job.Suspicion(id)
+		if !suspicion.Suspect() || !k.waitsForOwnWorker(id, now) {
 			others = append(others, id.Index)
 			continue
 		}
-		suspects, weight = append(suspects, id.Index), max(weight, held.Score())
+		suspects, score = append(suspects, id.Index), max(score, suspicion.Score())
 	}
-	return others, suspects, weight
+	return others, suspects, score
 }
 
-// waitsForOwnWorker reports whether a suspect still waits for a worker of its own.
+// waitsForOwnWorker reports whether a suspect still waits for a worker of its own, for at most maxSuspectWait.
 func (k *trackedJob) waitsForOwnWorker(id job.TaskID, now time.Time) bool {
 	since, waits := k.suspectedSince[id]
 	if !waits {
