--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -16,7 +16,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// fakeAdvisor allows one worker and notes the calls.
+// fakeAdvisor allows one worker and records the calls.
 type fakeAdvisor struct {
 	allowed string
 
@@ -24,7 +24,7 @@
 	calls [][]string
 }
 
-// recordedCalls returns the calls so far.
+// recordedCalls returns the workers of each call so far.
 func (f *fakeAdvisor) recordedCalls() [][]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,8 +49,8 @@
 		term := testTerm(t, kvtest.New())
 		advisor := &fakeAdvisor{allowed: "b1"}
 		term.dispatcher.config.Advisor = advisor
-		known := term.jobs["00000000000000aa"]
-		known.job = job.New("00000000000000aa", *known.job.Spec(), job.Queue{Service: testService, Attempts: 1, Advised: true}, time.Now())
+		tracked := term.jobs["00000000000000aa"]
+		tracked.job = job.New("00000000000000aa", *tracked.job.Spec(), job.Queue{Service: testService, Attempts: 1, Advised: true}, time.Now())
 		agents := map[string]*fakeAgent{"a": {vm: "a"}, "b": {vm: "b"}}
 		for _, vm := range []string{"a", "b"} {
 			r := testReport(vm + "1")
@@ -59,7 +59,7 @@
 			assert.NilError(t, err)
 		}
 		assert.NilError(t, cycle(ctx, term))
-		assert.Equal(t, len(agents["a"].pendingOrders)+len(agents["b"].pendingOrders), 0, "nothing is placed before the advice is there")
+		assert.Equal(t, len(agents["a"].pendingOrders)+len(agents["b"].pendingOrders), 0, "nothing is placed before the tickets are received")
 		time.Sleep(10 * time.Millisecond)
 		assert.DeepEqual(t, advisor.recordedCalls(), [][]string{{"a1", "b1"}})
 		assert.NilError(t, cycle(ctx, term))
@@ -68,7 +68,7 @@
 		start := agents["b"].pendingOrders[0].Starts[0]
 		assert.Equal(t, start.Ticket, "ticket")
 
-		// A worker that refuses the ticket makes the lead ask again, and is not avoided for it.
+		// After a worker refuses the ticket, the leader requests new ones and does not avoid the worker.
 		r := testReport("b1")
 		r.VM = "b"
 		r.Rejected = []link.Rejected{{Run: start.Run, Refusal: int(host.RefusedTicket)}}
--- a/internal/dispatch/backlog.go
+++ b/internal/dispatch/backlog.go
@@ -10,25 +10,27 @@
 const (
 	// backlogTimeConstant is the time constant that smooths the backlog level, so that a short wait hardly raises it.
 	backlogTimeConstant = 3 * time.Second
-	// minBatchShare is the least share of the workers that batch work is assumed to use: right after a loss it uses none.
+	// minBatchShare is the least share of the workers that best-effort tasks are assumed to use: right after a loss they use
+	// none.
 	minBatchShare = 0.1
-	// backlogStart and backlogFull are the expected completion times of the waiting batch work, as shares of its objective,
-	// at which the level starts to rise and at which it reaches 1.
+	// backlogStart and backlogFull are the expected completion times of the waiting best-effort tasks, as shares of their
+	// objective, at which the level starts to rise and at which it reaches 1.
 	backlogStart = 0.7
 	backlogFull  = 1.3
 	// backlogResolution is the number of steps from 0 to 1 to which the level is rounded for agents.
 	backlogResolution = 10
 )
 
-// batchBacklog estimates how long the waiting batch work takes at the current rate, relative to the objectives of its jobs.
-// In a burst on the users' deployments that is below 1. Where most best-effort images interfere with most serving ones it is
-// 2 to 4, and almost no batch job would meet its objective.
+// batchBacklog estimates how long the waiting best-effort tasks take at their current rate, relative to the objectives of
+// their jobs. In a burst on the users' deployments the ratio is below 1. Where most best-effort images interfere with most
+// serving ones it is 2 to 4, and almost no best-effort task would be done in time.
 type batchBacklog struct {
 	level     float64
 	updatedAt time.Time
 }
 
-// update updates the level by the waiting tasks, the CPU that batch work uses and the capacity, both in thousandths of a core.
+// update adjusts the level to the waiting tasks, the CPU that best-effort tasks use, and the capacity of the workers; the
+// last two are in thousandths of a core.
 func (s *batchBacklog) update(now time.Time, groups []*plan.Group, used, capacity int) {
 	var work, objective float64
 	for _, g := range groups {
--- a/internal/dispatch/backlog_test.go
+++ b/internal/dispatch/backlog_test.go
@@ -10,18 +10,19 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// TestBacklogRisesIfWaitingWorkExceedsItsObjective: a burst that is done in time is no reason to harm what serves.
+// TestBacklogRisesIfWaitingWorkExceedsItsObjective checks that a burst that finishes in time does not raise the level, since
+// it would be no reason to slow serving tasks.
 func TestBacklogRisesIfWaitingWorkExceedsItsObjective(t *testing.T) {
 	spec := job.Spec{Steps: []job.Step{{Count: 1, BestEffort: true, Size: job.Size{CPU: 2000}, Estimate: 2 * time.Second}}}
-	owner := job.New("00000000000000aa", spec, job.Queue{Stretch: 5}, time.Unix(0, 0))
+	waitingJob := job.New("00000000000000aa", spec, job.Queue{Stretch: 5}, time.Unix(0, 0))
 	waiting := func(tasks int) []*plan.Group {
-		return []*plan.Group{{Job: owner, Step: &spec.Steps[0], Indexes: make([]int, tasks)}, {Job: owner, Step: &job.Step{}, Indexes: make([]int, 500)}}
+		return []*plan.Group{{Job: waitingJob, Step: &spec.Steps[0], Indexes: make([]int, tasks)}, {Job: waitingJob, Step: &job.Step{}, Indexes: make([]int, 500)}}
 	}
 	const capacity, used = 200_000, 40_000
 	var s batchBacklog
 	now := time.Unix(0, 0)
-	run := func(lasts time.Duration, tasks int) float64 {
-		for end := now.Add(lasts); now.Before(end); now = now.Add(100 * time.Millisecond) {
+	run := func(length time.Duration, tasks int) float64 {
+		for end := now.Add(length); now.Before(end); now = now.Add(100 * time.Millisecond) {
 			s.update(now, waiting(tasks), used, capacity)
 		}
 		return s.level
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -12,7 +12,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestBackoffGrowsWhileRunsEndQuickly, up to its bound, and is dropped by a run that lives.
+// TestBackoffGrowsWhileRunsEndQuickly checks that the delay doubles up to its maximum and that a longer run resets it.
 func TestBackoffGrowsWhileRunsEndQuickly(t *testing.T) {
 	now := time.Now()
 	var b backoff
@@ -23,13 +23,13 @@
 	assert.Equal(t, b.next(minRunTime, now), backoff{})
 }
 
-// startsPerMinute plays a minute in which each run of one task ends at once, and returns how often it started.
+// startsPerMinute simulates a minute in which each run of one task ends at once, and returns the number of starts.
 func startsPerMinute(t *testing.T, step job.Step, end func(*stormWorker, link.Run)) int {
 	t.Helper()
 	s := newCrashStorm(t, 1, 3)
 	s.submitStep(step)
 	starts := 0
-	for began := time.Now(); time.Since(began) < time.Minute; time.Sleep(stormReportInterval) {
+	for start := time.Now(); time.Since(start) < time.Minute; time.Sleep(stormReportInterval) {
 		assert.NilError(t, s.leader.closures.Load(t.Context()))
 		for _, w := range s.workers {
 			s.report(w)
@@ -44,24 +44,23 @@
 	return starts
 }
 
-// TestTaskThatEndsAtOnceIsRestartedWithBackoff plays what operators saw: one service that could not start held all else up.
-//
-// Order of events: a run of a task that lasts ends as failed, or is refused for good, within milliseconds; the task waits, and the next plan
-// places it again. Cause: nothing bounds how often what lasts may fail. Evidence: 1,199 starts in
-// a minute, one with each report; 34 since.
+// TestTaskThatEndsAtOnceIsRestartedWithBackoff guards against a service that cannot start and delays all other tasks, as
+// operators saw: each run of a long-running task failed, or was refused as invalid, within milliseconds, and the next plan
+// placed the task again, since nothing limits its failures. Without the backoff there were 1,199 starts in a minute, one
+// per report; with it there are 34.
 func TestTaskThatEndsAtOnceIsRestartedWithBackoff(t *testing.T) {
-	lasting := job.Step{Count: 1, Size: job.Size{CPU: 500, Memory: 100}, Estimate: time.Second, LongRunning: true}
-	short := lasting
+	longRunning := job.Step{Count: 1, Size: job.Size{CPU: 500, Memory: 100}, Estimate: time.Second, LongRunning: true}
+	short := longRunning
 	short.LongRunning = false
 	for name, c := range map[string]struct {
 		step job.Step
 		end  func(*stormWorker, link.Run)
 	}{
-		"lasting, failed": {lasting, func(w *stormWorker, run link.Run) {
+		"long-running, failed": {longRunning, func(w *stormWorker, run link.Run) {
 			w.lastEnd++
 			w.ended = append(w.ended, link.Ended{Run: run, Sequence: w.lastEnd, End: int(job.EndFailed)})
 		}},
-		"short, refused for good": {short, func(w *stormWorker, run link.Run) {
+		"short, refused as invalid": {short, func(w *stormWorker, run link.Run) {
 			w.rejected = append(w.rejected, link.Rejected{Run: run, Refusal: int(host.RefusedInvalid)})
 		}},
 	} {
@@ -69,9 +68,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				starts := startsPerMinute(t, c.step, c.end)
 				t.Logf("%d starts in a minute", starts)
-				// Six while the delay grows, then one in mostDelay; and it is started at all.
-				most := 6 + int(time.Minute/maxBackoff)
-				assert.Assert(t, starts <= most, "%d starts in a minute", starts)
+				// Six starts while the delay grows, then one per maxBackoff; the least is one per six seconds.
+				maxStarts := 6 + int(time.Minute/maxBackoff)
+				assert.Assert(t, starts <= maxStarts, "%d starts in a minute", starts)
 				assert.Assert(t, starts >= int(time.Minute/(6*time.Second)), "%d starts in a minute", starts)
 			})
 		})
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 )
 
-// Sizes of the benchmark: a grown deployment of the users.
+// Sizes of the benchmark, which are those of a large deployment of the users.
 const (
 	benchServing    = 5
 	benchBestEffort = 5
@@ -26,13 +26,13 @@
 	benchTasks      = 20
 )
 
-// benchSizes are the numbers of workers: a grown deployment of the users, and fleets.
+// benchSizes are the numbers of workers: those of a large deployment of the users, and of two fleets.
 var benchSizes = []int{62, 400, 1600}
 
-// benchEntries is how many workers there are for each entry.
+// benchEntries is the number of workers per entry.
 const benchEntries = 4
 
-// busyTerm returns a term whose workers are busy and for which jobs wait that fit nowhere well.
+// busyTerm returns a term with busy workers and with waiting jobs that fit no worker well.
 func busyTerm(workers int) *term {
 	store := kvtest.New()
 	t := newTerm(newTestEntry("e", store), 1, 1)
@@ -40,7 +40,7 @@
 	serving := t.addTestJob(0, job.Step{
 		Count: workers * benchServing, Size: job.Size{CPU: 6000, Memory: 9000}, LongRunning: true, Image: "serve", Target: 18 * time.Millisecond,
 	})
-	filling := t.addTestJob(1, job.Step{
+	bestEffort := t.addTestJob(1, job.Step{
 		Count: workers * benchBestEffort, Size: job.Size{CPU: 3000, Memory: 6000}, BestEffort: true, Image: "fill-0", Estimate: time.Second,
 	})
 	for n := range benchWaiting {
@@ -60,7 +60,7 @@
 			t.addRun(serving, v*benchServing+i, host)
 		}
 		for i := range benchBestEffort {
-			t.addRun(filling, v*benchBestEffort+i, host)
+			t.addRun(bestEffort, v*benchBestEffort+i, host)
 		}
 	}
 	return t
@@ -79,19 +79,19 @@
 func (t *term) addTestJob(n int, step job.Step) *trackedJob {
 	id := job.ID(fmt.Sprintf("%016x", n))
 	queue := job.Queue{Service: testService, Attempts: 1, Stretch: 2, Target: time.Second}
-	known := newTracked(job.New(id, job.Spec{Steps: []job.Step{step}}, queue, time.Now()))
-	t.jobs[id] = known
-	return known
+	tracked := newTracked(job.New(id, job.Spec{Steps: []job.Step{step}}, queue, time.Now()))
+	t.jobs[id] = tracked
+	return tracked
 }
 
 // addRun adds a run of a task on a worker.
-func (t *term) addRun(known *trackedJob, index int, host job.Host) {
-	id := job.TaskID{Job: known.job.ID(), Index: index}
-	run := known.job.Place(id, host, 0)
-	t.ensureHost(host).addRun(id, &known.job.Spec().Steps[0], run)
+func (t *term) addRun(tracked *trackedJob, index int, host job.Host) {
+	id := job.TaskID{Job: tracked.job.ID(), Index: index}
+	run := tracked.job.Place(id, host, 0)
+	t.ensureHost(host).addRun(id, &tracked.job.Spec().Steps[0], run)
 }
 
-// BenchmarkSchedule measures what the lead reckons between two commits.
+// BenchmarkSchedule measures the work of the leader between two commits.
 func BenchmarkSchedule(b *testing.B) {
 	for _, workers := range benchSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// confirmedClosures returns closures that are confirmed for longer than a benchmark runs.
+// confirmedClosures returns closures that stay confirmed for longer than a benchmark runs.
 func confirmedClosures(store *kvtest.Store) *hall.Closures {
 	closures := hall.New(store, testClosures, time.Hour, &boottimetest.Clock{}, logging.Discard())
 	if _, err := store.Commit(context.Background(), kv.Txn{}); err != nil {
@@ -118,7 +118,7 @@
 	return closures
 }
 
-// BenchmarkReport measures what the lead does with one report of an agent.
+// BenchmarkReport measures how the leader handles one report of an agent.
 func BenchmarkReport(b *testing.B) {
 	for _, workers := range benchSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchReports(b, busyTerm(workers)) })
--- a/internal/dispatch/campaign.go
+++ b/internal/dispatch/campaign.go
@@ -71,8 +71,8 @@
 func (d *Dispatcher) campaign(ctx context.Context) (*term, error) {
 	for ctx.Err() == nil {
 		changed := d.config.Leader.Changed()
-		value, known := d.config.Leader.Value()
-		if known && (value.Revision == 0 || value.Held.Process == d.config.Node || d.mayReplace(value.Held.Epoch)) && d.backoffElapsed() {
+		leader, loaded := d.config.Leader.Value()
+		if loaded && (leader.Revision == 0 || leader.Held.Process == d.config.Node || d.mayReplace(leader.Held.Epoch)) && d.backoffElapsed() {
 			if d.awaitTurn(ctx, changed) {
 				return d.tryAcquire(ctx)
 			}
@@ -107,19 +107,19 @@
 // tryAcquire makes one attempt to acquire leadership; the returned term has not loaded the jobs yet.
 func (d *Dispatcher) tryAcquire(ctx context.Context) (*term, error) {
 	store := d.config.Store
-	held, err := store.Get(ctx, record.LeaderKey)
+	item, err := store.Get(ctx, record.LeaderKey)
 	if err != nil {
 		return nil, err
 	}
-	if held.Revision() != 0 {
-		holder, err := record.DecodeLeader(held.Value())
+	if item.Revision() != 0 {
+		leader, err := record.DecodeLeader(item.Value())
 		if err != nil {
-			// A foreign writer made this record. No entry leads by it, and the commit condition fences any that might.
+			// The record was not written by an entry. No leader depends on it, and the commit condition fences any that might.
 			d.logger.Error("leader record is unreadable and will be replaced; reason=%v", err)
 		}
-		if err == nil && holder.Process != d.config.Node && !d.mayReplace(holder.Epoch) {
+		if err == nil && leader.Process != d.config.Node && !d.mayReplace(leader.Epoch) {
 			_, err := d.config.Leader.Refresh(ctx)
-			return nil, fault.New(fault.Conflict, "%s is the leader (%v)", holder.Process, err)
+			return nil, fault.New(fault.Conflict, "%s is the leader (%v)", leader.Process, err)
 		}
 	}
 	last, lastRevision, err := readChain(ctx, store)
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	t := newTerm(d, last.Epoch+FencesPerEpoch, lease)
-	if err := t.acquire(ctx, held.Revision(), lastRevision); err != nil {
+	if err := t.acquire(ctx, item.Revision(), lastRevision); err != nil {
 		return nil, err
 	}
 	return t, nil
@@ -139,8 +139,8 @@
 
 // acquire writes the leader record and commit 0 of the term in one transaction, provided that both records still have the
 // given revisions.
-func (t *term) acquire(ctx context.Context, leader, lastCommit kv.Revision) error {
-	txn, err := t.acquireTxn(leader, lastCommit)
+func (t *term) acquire(ctx context.Context, leaderRevision, commitRevision kv.Revision) error {
+	txn, err := t.acquireTxn(leaderRevision, commitRevision)
 	if err != nil {
 		return err
 	}
@@ -156,18 +156,18 @@
 	return nil
 }
 
-func (t *term) acquireTxn(leader, lastCommit kv.Revision) (kv.Txn, error) {
-	leaderPut, err := t.leaderPut()
+func (t *term) acquireTxn(leaderRevision, commitRevision kv.Revision) (kv.Txn, error) {
+	leader, err := t.leaderPut()
 	if err != nil {
 		return kv.Txn{}, err
 	}
-	commitPut, err := t.chainPut(0)
+	commit, err := t.chainPut(0)
 	if err != nil {
 		return kv.Txn{}, err
 	}
 	return kv.Txn{
-		Conditions: []kv.Condition{{Key: record.LeaderKey, Revision: leader}, {Key: record.LastCommitKey, Revision: lastCommit}},
-		Puts:       []kv.Put{leaderPut, commitPut},
+		Conditions: []kv.Condition{{Key: record.LeaderKey, Revision: leaderRevision}, {Key: record.LastCommitKey, Revision: commitRevision}},
+		Puts:       []kv.Put{leader, commit},
 	}, nil
 }
 
--- a/internal/dispatch/campaign_test.go
+++ b/internal/dispatch/campaign_test.go
@@ -14,7 +14,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// slowStore is a store whose ranges take long and whose leases run out.
+// slowStore is a store with slow range reads, which may fail, and with leases that expire.
 type slowStore struct {
 	*kvtest.Store
 	rangeDelay time.Duration
@@ -27,7 +27,7 @@
 func (s *slowStore) Range(ctx context.Context, prefix string) ([]kv.Item, kv.Revision, error) {
 	<-time.After(s.rangeDelay)
 	if s.rangeFails {
-		return nil, 0, fault.New(fault.OutcomeUnknown, "no answer came in time")
+		return nil, 0, fault.New(fault.OutcomeUnknown, "the answer timed out")
 	}
 	return s.Store.Range(ctx, prefix)
 }
@@ -50,17 +50,17 @@
 	return nil
 }
 
-// runDispatchers runs dispatchers beside each other for a while, each with its own view of a store.
+// runDispatchers runs concurrent dispatchers for a time, each with its own connection to a shared store.
 func runDispatchers(t *testing.T, length time.Duration, stores ...*slowStore) []*Dispatcher {
 	t.Helper()
 	_, err := stores[0].Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: "op/config"}}})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
-	var all []*Dispatcher
+	var dispatchers []*Dispatcher
 	for i, s := range stores {
 		d := newTestEntry(string(rune('a'+i)), s)
-		all = append(all, d)
+		dispatchers = append(dispatchers, d)
 		running.Go(func() { d.config.Leader.Run(ctx) })
 		running.Go(func() { d.Run(ctx) })
 	}
@@ -70,31 +70,32 @@
 		cancel()
 		running.Wait()
 	})
-	return all
+	return dispatchers
 }
 
-// TestLeaseIsRenewedWhileJobsAreLoaded failed with a new lead every two seconds, none of which ever placed anything.
+// TestLeaseIsRenewedWhileJobsAreLoaded guards against a leader change every two seconds, with no leader that places
+// anything, which happened when loading the jobs took longer than the lease.
 func TestLeaseIsRenewedWhileJobsAreLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		leases := make(map[kv.LeaseID]*time.Timer)
-		thin := &slowStore{Store: store, rangeDelay: 2 * time.Second, leases: leases}
-		runDispatchers(t, 20*time.Second, thin, thin)
-		chain, _, err := readChain(t.Context(), store)
+		slow := &slowStore{Store: store, rangeDelay: 2 * time.Second, leases: leases}
+		runDispatchers(t, 20*time.Second, slow, slow)
+		last, _, err := readChain(t.Context(), store)
 		assert.NilError(t, err)
-		assert.Equal(t, chain.Epoch, uint64(FencesPerEpoch))
+		assert.Equal(t, last.Epoch, uint64(FencesPerEpoch))
 	})
 }
 
-// TestEntryThatCannotLoadJobsGivesUpLeadership to one that can.
+// TestEntryThatCannotLoadJobsGivesUpLeadership checks that an entry that can load them leads instead.
 func TestEntryThatCannotLoadJobsGivesUpLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		leases := make(map[kv.LeaseID]*time.Timer)
-		broken := &slowStore{Store: store, rangeDelay: time.Second, rangeFails: true, leases: leases}
-		sound := &slowStore{Store: store, leases: leases}
-		all := runDispatchers(t, 10*time.Second, broken, sound)
-		assert.Assert(t, all[0].term.Load() == nil)
-		assert.Assert(t, all[1].term.Load() != nil)
+		failing := &slowStore{Store: store, rangeDelay: time.Second, rangeFails: true, leases: leases}
+		working := &slowStore{Store: store, leases: leases}
+		dispatchers := runDispatchers(t, 10*time.Second, failing, working)
+		assert.Assert(t, dispatchers[0].term.Load() == nil)
+		assert.Assert(t, dispatchers[1].term.Load() != nil)
 	})
 }
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -10,19 +10,20 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// TestRankedCandidatesCampaignInTurn: 50 equal entries of a fleet stood for the lead at one moment, each with four calls to the store.
+// TestRankedCandidatesCampaignInTurn guards against simultaneous campaigns: 50 equal entries of a fleet all campaigned at
+// once, with four calls to the store each.
 func TestRankedCandidatesCampaignInTurn(t *testing.T) {
-	assert.Equal(t, candidateDelay(1, 0.2, 0.9), time.Duration(0), "the first tries at once")
-	for place := 2; place <= maxRankDelays; place++ {
-		assert.Equal(t, candidateDelay(place, 0.2, 0.9)-candidateDelay(place-1, 0.2, 0.9), rankDelay)
+	assert.Equal(t, candidateDelay(1, 0.2, 0.9), time.Duration(0), "the first candidate does not wait")
+	for rank := 2; rank <= maxRankDelays; rank++ {
+		assert.Equal(t, candidateDelay(rank, 0.2, 0.9)-candidateDelay(rank-1, 0.2, 0.9), rankDelay)
 	}
 	last := candidateDelay(184, 0.2, 0.99)
 	assert.Assert(t, last > maxRankDelays*rankDelay && last <= maxRankDelays*rankDelay+lowRankSpread, "%v", last)
-	assert.Assert(t, candidateDelay(0, 1.6, 0) < candidateDelay(0, 0.2, 0), "without a rank the stronger one goes first")
-	assert.Assert(t, candidateDelay(0, 0.2, 0.1) < candidateDelay(0, 0.2, 0.9), "equals do not stand at one moment")
+	assert.Assert(t, candidateDelay(0, 1.6, 0) < candidateDelay(0, 0.2, 0), "without a rank the stronger entry waits less")
+	assert.Assert(t, candidateDelay(0, 0.2, 0.1) < candidateDelay(0, 0.2, 0.9), "equal entries without a rank wait differently long")
 }
 
-// TestEntryThatIsAskedToSucceedCampaignsAtOnce, whatever its place: its leader has already yielded.
+// TestEntryThatIsAskedToSucceedCampaignsAtOnce checks that its rank does not matter, since the leader has already yielded.
 func TestEntryThatIsAskedToSucceedCampaignsAtOnce(t *testing.T) {
 	d := newTestEntry("e", kvtest.New())
 	d.SetRank(17)
@@ -34,7 +35,8 @@
 	assert.Assert(t, d.mayReplace(3))
 }
 
-// TestEntriesAreRankedByStrength and differs among equals from epoch to epoch, so that one that cannot lead is not always the first to try.
+// TestEntriesAreRankedByStrength also checks that the order of equal entries differs by epoch, so that one that cannot lead
+// is not always the first candidate.
 func TestEntriesAreRankedByStrength(t *testing.T) {
 	r := newRoster("self")
 	const strong, weak = 5, 20
@@ -58,5 +60,5 @@
 			}
 		}
 	}
-	assert.Assert(t, len(first) > 1, "always %v", first)
+	assert.Assert(t, len(first) > 1, "the first candidate is always one of %v", first)
 }
--- a/internal/dispatch/checkpoint_test.go
+++ b/internal/dispatch/checkpoint_test.go
@@ -14,8 +14,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// TestCheckpointsSurviveALeaderChange failed with tasks that began anew after all VMs had gone at once: a checkpoint was stored only
-// with the next start or end of a task of the same job.
+// TestCheckpointsSurviveALeaderChange guards against tasks that lose all progress when all VMs are lost at once: a checkpoint
+// was stored only with the next start or end of a task of the same job.
 func TestCheckpointsSurviveALeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -33,10 +33,10 @@
 		term.markDirty(term.addTestJob(2, step))
 		assert.NilError(t, cycle(context.Background(), term))
 
-		again := job.New(slow.job.ID(), *slow.job.Spec(), slow.job.Queue(), time.Now())
+		restored := job.New(slow.job.ID(), *slow.job.Spec(), slow.job.Queue(), time.Now())
 		item, err := store.Get(context.Background(), record.ProgressKey(slow.job.ID()))
 		assert.NilError(t, err)
-		assert.NilError(t, again.ApplyProgress(item.Value()))
-		assert.Equal(t, again.Task(task).Checkpoint(), "a fifth")
+		assert.NilError(t, restored.ApplyProgress(item.Value()))
+		assert.Equal(t, restored.Task(task).Checkpoint(), "a fifth")
 	})
 }
--- a/internal/dispatch/closures_test.go
+++ b/internal/dispatch/closures_test.go
@@ -16,7 +16,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// closureTest is a lead with one job of one task and an agent in each of two halls.
+// closureTest is a leader with one job of one task and an agent in each of two halls.
 type closureTest struct {
 	t            *testing.T
 	store        *kvtest.Store
@@ -50,7 +50,7 @@
 	c.commit(kv.Txn{Removes: []string{testClosures + hall}})
 }
 
-// report lets an agent report what it has, and returns the answer.
+// report sends a report of an agent and returns the answer.
 func (c *closureTest) report(a *fakeAgent, rejected ...link.Rejected) link.ReportAnswer {
 	c.t.Helper()
 	r := testReport(a.vm + "-1")
@@ -60,7 +60,7 @@
 	return answer
 }
 
-// runCycle lets the lead plan, commit and send its orders.
+// runCycle lets the leader plan, commit and send its orders.
 func (c *closureTest) runCycle() {
 	c.t.Helper()
 	assert.NilError(c.t, cycle(context.Background(), c.term))
@@ -94,11 +94,11 @@
 		c.runCycle()
 		assert.Equal(t, startOrders(c.north), 1)
 		assert.Assert(t, !c.north.pendingOrders[0].Hall.Closed && c.north.pendingOrders[0].Hall.Revision > answer.Hall.Revision,
-			"the order tells that the hall is open again")
+			"the order reports the reopened hall")
 	})
 }
 
-// TestRunIsPlacedElsewhereIfItsHallClosesDuringCommit is a closure that comes while the commit is on its way.
+// TestRunIsPlacedElsewhereIfItsHallClosesDuringCommit closes a hall between the placement of a run there and its commit.
 func TestRunIsPlacedElsewhereIfItsHallClosesDuringCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
@@ -115,7 +115,7 @@
 	})
 }
 
-// TestLostOrderToAClosedHallIsWithdrawn is an order that was lost, so that it would be given again.
+// TestLostOrderToAClosedHallIsWithdrawn closes a hall after a start order to it was lost, which would be resent otherwise.
 func TestLostOrderToAClosedHallIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
@@ -130,7 +130,7 @@
 		assert.Equal(t, startOrders(c.north), 1)
 		last := c.north.pendingOrders[len(c.north.pendingOrders)-1]
 		assert.DeepEqual(t, last.Stops, []link.Run{{Task: "00000000000000aa.0.0.0", Number: 1}})
-		// The acknowledged stop of a run that never began frees its task at once.
+		// The acknowledged stop of a run that never started allows its task to be placed at once.
 		c.report(c.south)
 		c.report(c.north, link.Rejected{Run: last.Stops[0], Refusal: 2})
 		c.runCycle()
@@ -138,7 +138,7 @@
 	})
 }
 
-// TestNothingIsPlacedWhileClosuresAreUnconfirmed is a store that takes commits and does not tell the lead of closures.
+// TestNothingIsPlacedWhileClosuresAreUnconfirmed uses a store that accepts commits and does not confirm the closures.
 func TestNothingIsPlacedWhileClosuresAreUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
@@ -152,7 +152,7 @@
 	})
 }
 
-// TestCommittedRunIsOrderedOnceClosuresAreConfirmed is a commit that is done long after its hall was known to be open.
+// TestCommittedRunIsOrderedOnceClosuresAreConfirmed commits a run when the last confirmation of its open hall is too old.
 func TestCommittedRunIsOrderedOnceClosuresAreConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
@@ -171,7 +171,7 @@
 	})
 }
 
-// TestNewLeaderLoadsClosuresBeforePlacing is a lead that takes over while a hall is closed.
+// TestNewLeaderLoadsClosuresBeforePlacing lets an entry take over while a hall is closed.
 func TestNewLeaderLoadsClosuresBeforePlacing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
@@ -190,7 +190,7 @@
 	})
 }
 
-// TestMetricsCountRunsInClosedHalls plays a run that goes on in a hall that was closed, until this entry leads no more.
+// TestMetricsCountRunsInClosedHalls keeps a run in a closed hall until this entry is no longer the leader.
 func TestMetricsCountRunsInClosedHalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
@@ -207,7 +207,7 @@
 	})
 }
 
-// metricsText returns the metrics of an entry as they are served.
+// metricsText returns the metrics of an entry in the served format.
 func metricsText(d *Dispatcher) string {
 	var text strings.Builder
 	d.config.Metrics.Write(&text)
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// suspicionChanged saves the changed crash history of a task, and ends its job if the job was given up for it.
+// suspicionChanged marks a job for commit after the crash history of a task changed, and ends the job if that gave it up.
 func (t *term) suspicionChanged(tracked *trackedJob, reason string) {
 	t.markDirty(tracked)
 	if tracked.job.State() == job.Failed {
@@ -164,6 +164,6 @@
 			s.id, s.run, a.vm, id, finding.Attribution(), finding.Sole(), s.age.Milliseconds(), history.LikelyCrashes(), history.PossibleCrashes())
 		t.suspicionChanged(s.tracked, fmt.Sprintf("one of its tasks crashes its workers; task=%s crashes=%d doubts=%d", s.id, history.LikelyCrashes(), history.PossibleCrashes()))
 	}
-	t.logger.Info("crash attributed; vm=%s instance=%s tasks=%d cleared=%d simultaneous=%t", a.vm, id, len(suspects), cleared, simultaneous)
+	t.logger.Info("crash attributed; vm=%s instance=%s tasks=%d cleared=%d together=%t", a.vm, id, len(suspects), cleared, simultaneous)
 	t.wakeUp()
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -129,11 +129,11 @@
 	if err != nil {
 		return link.ReportAnswer{}, err
 	}
-	began := time.Now()
+	start := time.Now()
 	answer, err := t.report(connection{p}, r)
 	d.config.Metrics.Counter("lead.reports").Inc(1)
 	d.config.Metrics.Counter("lead.ends").Inc(int64(len(r.Ended)))
-	d.config.Metrics.Histogram("lead.report_ms").Update(time.Since(began).Milliseconds())
+	d.config.Metrics.Histogram("lead.report_ms").Update(time.Since(start).Milliseconds())
 	return answer, err
 }
 
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -21,7 +21,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// cycle is one turn of the work of a lead, until all is committed.
+// cycle schedules once and commits until there are no uncommitted changes.
 func cycle(ctx context.Context, t *term) error {
 	t.schedule()
 	for {
@@ -31,7 +31,7 @@
 	}
 }
 
-// newTestEntry returns an entry that may lead.
+// newTestEntry returns a dispatcher that is not the leader yet.
 func newTestEntry(name string, store kv.Store) *Dispatcher {
 	clock := &boottimetest.Clock{}
 	return New(Config{
@@ -53,16 +53,17 @@
 func (noPolicies) Offer() link.Offer      { return link.Offer{} }
 func (noPolicies) Accept(link.Offer)      {}
 
-// fakeWorker judges what it is told like the platform's worker, and notes what must never happen.
+// fakeWorker handles starts and stops like the platform's worker, and fails the test if an invariant is violated.
 type fakeWorker struct {
 	id      incarnation.ID
 	fence   uint64
 	running map[string]fakeRun
-	// latest is the highest run of each task that was here, alive or not.
+	// latest is the highest run number of each task that was started or stopped here.
 	latest   map[string]int
 	ended    []link.Ended
 	sequence uint64
-	// leaseEnd is until when the worker was leaseEnd, lapsed the last end before a time at which it was not.
+	// leaseEnd is when the worker's lease ends, zero before the first renewal; lapsed is the sequence number of the last end
+	// when the lease was last found expired.
 	leaseEnd time.Time
 	lapsed   uint64
 }
@@ -73,76 +74,78 @@
 	size   job.Size
 }
 
-// fakeAgent follows one lead and passes its orders on when told to.
+// fakeAgent reports to one leader and holds back its orders until the test delivers them.
 type fakeAgent struct {
 	vm   string
 	hall string
-	// latestHall is what it was told of its hall last, told up to when the lead surely had told all, followed when it found its lead.
+	// latestHall is the last received status of its hall, hallConfirmedAt the time up to which the leader confirmed that
+	// status, connectedAt when the agent connected to its leader.
 	latestHall      link.Hall
 	hallConfirmedAt time.Time
 	connectedAt     time.Time
-	// session is the number of its connection to the lead.
+	// session is the number of its connection to the leader.
 	session       uint64
 	epoch         uint64
 	leaseEnd      time.Time
 	seen          uint64
 	pendingOrders []link.Orders
-	// known is the incarnation that the agent takes for the present one; worker is the one that is, and may have started again unnoticed.
+	// known is the incarnation that the agent last detected; worker is the present one, which may have restarted since.
 	known incarnation.ID
-	// listed are the runs that the known incarnation has shown.
+	// listed holds the runs that the known incarnation has reported.
 	listed       map[link.Run]bool
 	worker       *fakeWorker
 	incarnations int
 	rejected     []link.Rejected
-	// refusedRuns is the highest run of each task that the agent refused.
+	// refusedRuns is the highest run number of each task that the agent refuses to start.
 	refusedRuns map[string]int
 }
 
-// fakeSession is the session between a lead and an agent.
+// fakeSession is the leader's session with an agent.
 type fakeSession struct{ agent *fakeAgent }
 
-func (m fakeSession) number() uint64 { return m.agent.session }
+func (s fakeSession) number() uint64 { return s.agent.session }
 
-func (m fakeSession) send(orders link.Orders) error {
-	m.agent.pendingOrders = append(m.agent.pendingOrders, orders)
+func (s fakeSession) send(orders link.Orders) error {
+	s.agent.pendingOrders = append(s.agent.pendingOrders, orders)
 	return nil
 }
 
-func (m fakeSession) close() {}
+func (s fakeSession) close() {}
 
-// clockStart is when the workers' clocks begin: times of birth lie after it, or before it where the clock has stepped back.
+// clockStart is the origin of the workers' clocks: start times are after it, or before it if the clock stepped back.
 const clockStart = 1_000_000
 
-// replaceWorker gives the worker another incarnation, under an id of its own, that reports its birth or not.
-func (a *fakeAgent) replaceWorker(reports bool) {
+// replaceWorker replaces the worker by an incarnation with a new id, which reports its start time or not.
+func (a *fakeAgent) replaceWorker(reportsStart bool) {
 	a.incarnations++
-	born := int64(0)
-	if reports {
-		born = clockStart + int64(a.incarnations)
+	start := int64(0)
+	if reportsStart {
+		start = clockStart + int64(a.incarnations)
 	}
-	a.setWorker(incarnation.New(fmt.Sprintf("%s-%d", a.vm, a.incarnations), born))
+	a.setWorker(incarnation.New(fmt.Sprintf("%s-%d", a.vm, a.incarnations), start))
 	a.detectWorker()
 }
 
-// restartWorker gives a worker that reports births another incarnation under the id that it has, which the agent does not know before it looks.
+// restartWorker replaces the worker by an incarnation with the same id and another start time, which the agent has yet to
+// detect. A worker that reports no start time gets a new id instead.
 func (a *fakeAgent) restartWorker(stepsBack bool) {
 	if a.worker.id.StartMillis() == 0 {
 		a.replaceWorker(true)
 		return
 	}
 	a.incarnations++
-	born := clockStart + int64(a.incarnations)
+	start := clockStart + int64(a.incarnations)
 	if stepsBack {
-		born = clockStart - int64(a.incarnations)
+		start = clockStart - int64(a.incarnations)
 	}
-	a.setWorker(incarnation.New(a.worker.id.Worker(), born))
+	a.setWorker(incarnation.New(a.worker.id.Worker(), start))
 }
 
 func (a *fakeAgent) setWorker(id incarnation.ID) {
 	a.worker = &fakeWorker{id: id, running: make(map[string]fakeRun), latest: make(map[string]int)}
 }
 
-// detectWorker lets the agent look which incarnation is present.
+// detectWorker lets the agent detect the present incarnation.
 func (a *fakeAgent) detectWorker() {
 	if a.known == a.worker.id {
 		return
@@ -151,20 +154,20 @@
 	a.listed = make(map[link.Run]bool)
 }
 
-// updateHall takes what the lead told of the hall.
-func (a *fakeAgent) updateHall(told link.Hall, at time.Time) {
-	if told.Revision >= a.latestHall.Revision {
-		a.latestHall = told
+// updateHall records a status of the hall that was received from the leader and is confirmed up to a time.
+func (a *fakeAgent) updateHall(status link.Hall, at time.Time) {
+	if status.Revision >= a.latestHall.Revision {
+		a.latestHall = status
 	}
 	a.hallConfirmedAt = later(a.hallConfirmedAt, at)
 }
 
-// mayStart reports whether the hall is open as far as the agent was told of late.
+// mayStart reports whether the hall is open by a recently confirmed status.
 func (a *fakeAgent) mayStart() bool {
 	return !a.latestHall.Closed && time.Since(a.hallConfirmedAt) <= hall.StaleAfter(testClosedWithin)
 }
 
-// dropOrders drops all orders, since the lead may have given their runs up when the permission was over.
+// dropOrders discards all orders, since the leader may have given up their runs after the agent lease expired.
 func (a *fakeAgent) dropOrders() {
 	for _, orders := range a.pendingOrders {
 		for _, s := range orders.Starts {
@@ -180,7 +183,7 @@
 		used = used.Plus(run.size)
 	}
 	if !used.Fits(testCapacity) {
-		t.Fatalf("%s holds %v of %v", f.id, used, testCapacity)
+		t.Fatalf("%s has allocated %v of %v", f.id, used, testCapacity)
 	}
 }
 
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -95,7 +95,7 @@
 // markDirty records that a job changed and has to be committed.
 func (t *term) markDirty(tracked *trackedJob) {
 	tracked.version++
-	if _, dirty := t.dirty[tracked.job.ID()]; !dirty {
+	if _, queued := t.dirty[tracked.job.ID()]; !queued {
 		t.changeCount++
 		t.dirty[tracked.job.ID()] = t.changeCount
 	}
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -8,7 +8,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/plan"
 )
 
-// loadLogInterval is the time between two log lines about the load: short enough to show a burst of work, at a negligible cost.
+// loadLogInterval is the time between two log lines about the load: short enough to show a burst of work, and one line in two
+// seconds costs next to nothing.
 const loadLogInterval = 2 * time.Second
 
 // millisPerCore is the number of units of a CPU size in one core.
@@ -16,10 +17,12 @@
 
 // load sums up the waiting tasks, the running tasks and the use of the workers.
 type load struct {
-	// waitingShort, waitingLongRunning and waitingBatch count the waiting tasks; the last are best-effort ones of batchJobs jobs.
+	// waitingShort, waitingLongRunning and waitingBatch count the waiting tasks; the last are the best-effort tasks of
+	// batchJobs jobs.
 	waitingShort, waitingLongRunning, waitingBatch int
 	batchJobs                                      int
-	// capacity of the workers, reservations of serving tasks, and requests and use of best-effort tasks, in thousandths of a core.
+	// capacity is the CPU of the workers, serving the reservations of serving tasks, requested and used the requests and the
+	// use of best-effort tasks, all in thousandths of a core.
 	capacity, serving, requested, used int
 	// filling counts the best-effort tasks, throttled those below full pace, served the serving tasks, overTarget those above
 	// their latency target.
--- a/internal/dispatch/losses.go
+++ b/internal/dispatch/losses.go
@@ -59,7 +59,8 @@
 	return observed
 }
 
-// markUnreachable counts all runs of an incarnation whose agent lease has expired as lost, whether its worker crashed or not.
+// markUnreachable ends all runs of an incarnation whose agent lease has expired and counts them as lost, whether its worker
+// crashed or not.
 func (t *term) markUnreachable(h *hostState, reason string) {
 	runs := t.recordLosses(h, func(link.Run) (crash.Loss, bool) { return crash.UnreachableLoss(), true })
 	for _, id := range h.runsWhere(func(p *placedRun) bool { return p.committed && p.reportedAt.IsZero() }) {
@@ -93,15 +94,15 @@
 	return counted
 }
 
-// lossesChanged saves the changed losses of a task, whose job may be given up for them.
+// lossesChanged handles a change of the losses of a task, for which its job may be given up.
 func (t *term) lossesChanged(tracked *trackedJob, id job.TaskID) {
 	losses := tracked.job.Suspicion(id).Losses()
 	t.suspicionChanged(tracked, fmt.Sprintf("one of its tasks was lost with its workers too often; task=%s lost=%d crashed=%d alike=%d blind=%d",
 		id, losses.Total(), losses.Crashed(), losses.Similar(), losses.UnknownLifetime()))
 }
 
-// resolveUnreachable resolves the losses of the unreachable incarnations of a VM's worker once its agent reports again: the
-// present incarnation has not crashed, any other one has.
+// resolveUnreachable resolves the losses of the unreachable incarnations of a VM's worker once its agent reports again: those
+// of the present incarnation were not lost, those of any other were lost by a crash.
 func (t *term) resolveUnreachable(current job.Host) {
 	for host, incarnation := range t.unreachable {
 		if host.VM == current.VM {
--- a/internal/dispatch/losses_test.go
+++ b/internal/dispatch/losses_test.go
@@ -12,27 +12,28 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// lossesAfter returns how many runs of a task count as lost, and with how many of them a worker surely crashed, after its agent was
-// away for a time and has then reported.
-func lossesAfter(t *testing.T, before link.Report, away time.Duration, after link.Report) (all, over int) {
+// lossesAfter returns how many runs of a task count as lost in total, and how many of them by a crash of their worker, after
+// its agent did not report for a time and then reported again.
+func lossesAfter(t *testing.T, before link.Report, silence time.Duration, after link.Report) (total, crashed int) {
 	t.Helper()
 	a := &fakeAgent{vm: "vm"}
-	lead := termWithPlacedTask(t, kvtest.New(), a)
-	_, err := lead.report(fakeSession{a}, before)
+	leader := termWithPlacedTask(t, kvtest.New(), a)
+	_, err := leader.report(fakeSession{a}, before)
 	assert.NilError(t, err)
-	time.Sleep(away)
-	assert.NilError(t, lead.closures.Load(t.Context()))
-	runCycle(t, lead)
-	_, err = lead.report(fakeSession{a}, after)
+	time.Sleep(silence)
+	assert.NilError(t, leader.closures.Load(t.Context()))
+	runCycle(t, leader)
+	_, err = leader.report(fakeSession{a}, after)
 	assert.NilError(t, err)
-	losses := lead.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
-	runCycle(t, lead)
+	losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
+	runCycle(t, leader)
 	return losses.Total(), losses.Crashed()
 }
 
-// TestRunsThatCountAsLost with a worker: a run that it had, or may have had, when it crashed or was lost sight of.
+// TestRunsThatCountAsLost checks that a run counts as lost if its worker had it, or may have had it, when the worker crashed
+// or became unreachable.
 func TestRunsThatCountAsLost(t *testing.T) {
-	const outOfSight = agentLease + 2*agentLeaseMargin
+	const unreachable = agentLease + 2*agentLeaseMargin
 	draining := runningReport()
 	draining.Draining = true
 	otherRun := crashReport(1, 9)
@@ -43,66 +44,67 @@
 	silent := testReport("i1")
 	silent.Silent = true
 	for name, c := range map[string]struct {
-		before    link.Report
-		away      time.Duration
-		after     link.Report
-		all, over int
+		before         link.Report
+		silence        time.Duration
+		after          link.Report
+		total, crashed int
 	}{
-		"its crash is told":                      {runningReport(), 0, crashReport(1, 1), 1, 1},
-		"its crash is not told":                  {runningReport(), 0, testReport("i2"), 1, 1},
-		"its life never had the run":             {runningReport(), 0, otherRun, 0, 0},
-		"it left by plan":                        {draining, 0, testReport("i2"), 0, 0},
-		"it left by plan, of which nobody told":  {runningReport(), 0, planned, 0, 0},
-		"out of sight, and left by plan":         {runningReport(), outOfSight, planned, 0, 0},
-		"out of sight, and still there":          {runningReport(), outOfSight, listed, 0, 0},
-		"out of sight, and still silent":         {runningReport(), outOfSight, silent, 1, 0},
-		"out of sight, and crashed":              {runningReport(), outOfSight, crashReport(1, 1), 1, 1},
-		"out of sight, and crashed without word": {runningReport(), outOfSight, testReport("i2"), 1, 1},
-		"out of sight, crashed without the run":  {runningReport(), outOfSight, otherRun, 0, 0},
+		"crash reported":                        {runningReport(), 0, crashReport(1, 1), 1, 1},
+		"crash unreported":                      {runningReport(), 0, testReport("i2"), 1, 1},
+		"incarnation never had the run":         {runningReport(), 0, otherRun, 0, 0},
+		"planned end after draining":            {draining, 0, testReport("i2"), 0, 0},
+		"planned end without draining":          {runningReport(), 0, planned, 0, 0},
+		"unreachable, planned end":              {runningReport(), unreachable, planned, 0, 0},
+		"unreachable, same incarnation reports": {runningReport(), unreachable, listed, 0, 0},
+		"unreachable, worker still silent":      {runningReport(), unreachable, silent, 1, 0},
+		"unreachable, crash reported":           {runningReport(), unreachable, crashReport(1, 1), 1, 1},
+		"unreachable, crash unreported":         {runningReport(), unreachable, testReport("i2"), 1, 1},
+		"unreachable, crashed without the run":  {runningReport(), unreachable, otherRun, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				all, over := lossesAfter(t, c.before, c.away, c.after)
-				assert.Equal(t, all, c.all)
-				assert.Equal(t, over, c.over)
+				total, crashed := lossesAfter(t, c.before, c.silence, c.after)
+				assert.Equal(t, total, c.total)
+				assert.Equal(t, crashed, c.crashed)
 			})
 		})
 	}
 }
 
-// TestUnreachableIncarnationsExpire, so that VMs that never come back leave nothing behind.
+// TestUnreachableIncarnationsExpire checks that no record is kept forever of VMs that never come back.
 func TestUnreachableIncarnationsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		lead := termWithPlacedTask(t, kvtest.New(), a)
+		leader := termWithPlacedTask(t, kvtest.New(), a)
 		time.Sleep(agentLease + 2*agentLeaseMargin)
-		runCycle(t, lead)
-		assert.Equal(t, len(lead.unreachable), 1)
+		runCycle(t, leader)
+		assert.Equal(t, len(leader.unreachable), 1)
 		time.Sleep(endedJobRetention + time.Second)
-		runCycle(t, lead)
-		assert.Equal(t, len(lead.unreachable), 0)
+		runCycle(t, leader)
+		assert.Equal(t, len(leader.unreachable), 0)
 	})
 }
 
-// TestCrashReportedBeforeTheNextIncarnationIsRecorded failed with each run of the life counted as one of which nothing is known,
-// also those that never reached the worker: the word came, and was acknowledged, with a report of the old life.
+// TestCrashReportedBeforeTheNextIncarnationIsRecorded guards against a crash report that is acknowledged and ignored since
+// it comes with a report of the ended incarnation. Each run then counted as a loss of unknown lifetime, also runs that had
+// never reached the worker.
 func TestCrashReportedBeforeTheNextIncarnationIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		lead := termWithPlacedTask(t, kvtest.New(), a)
-		told := crashReport(1, 1)
-		told.Instance, told.Silent, told.Lapsed = "i1", true, true
-		told.Crashes[0].Runs[0].AgeMillis = 700
-		for _, r := range []link.Report{runningReport(), told, testReport("i2")} {
-			_, err := lead.report(fakeSession{a}, r)
+		leader := termWithPlacedTask(t, kvtest.New(), a)
+		crashed := crashReport(1, 1)
+		crashed.Instance, crashed.Silent, crashed.Lapsed = "i1", true, true
+		crashed.Crashes[0].Runs[0].AgeMillis = 700
+		for _, r := range []link.Report{runningReport(), crashed, testReport("i2")} {
+			_, err := leader.report(fakeSession{a}, r)
 			assert.NilError(t, err)
-			losses := lead.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
+			losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
 			assert.Equal(t, losses.UnknownLifetime(), 0)
 			if r.Instance == "i2" {
 				assert.Equal(t, losses.Similar(), 1)
 				assert.Equal(t, losses.LongestLifetime(), 700*time.Millisecond)
 			}
-			runCycle(t, lead)
+			runCycle(t, leader)
 		}
 	})
 }
--- a/internal/dispatch/sampling.go
+++ b/internal/dispatch/sampling.go
@@ -130,10 +130,10 @@
 		if _, added := loads[name]; added || !p.step.Serves() {
 			continue
 		}
-		if l, known := t.pressure.Load(p.step.Image, name, now); known {
+		if estimate, ok := t.pressure.Load(p.step.Image, name, now); ok {
 			loads[name] = link.Load{
-				Headroom: quantize(l.Headroom, headroomResolution), Slope: quantize(l.Slope, headroomResolution),
-				Mean: quantize(l.Mean, headroomResolution), Deviation: quantize(l.Deviation, headroomResolution),
+				Headroom: quantize(estimate.Headroom, headroomResolution), Slope: quantize(estimate.Slope, headroomResolution),
+				Mean: quantize(estimate.Mean, headroomResolution), Deviation: quantize(estimate.Deviation, headroomResolution),
 			}
 		}
 	}
@@ -150,7 +150,8 @@
 	}
 }
 
-// longOverTarget reports whether a task has been above its latency target for so long that no interfering task may be added.
+// longOverTarget reports whether a task has been above its latency target for so long that no task that may slow it can be
+// added.
 func (p *placedRun) longOverTarget() bool {
 	return !p.overTargetSince.IsZero() && time.Since(p.overTargetSince) > pacing.ViolationGrace
 }
--- a/internal/dispatch/savedmodel.go
+++ b/internal/dispatch/savedmodel.go
@@ -26,7 +26,7 @@
 	b.txn.Puts = append(b.txn.Puts, kv.Put{Key: record.PressureKey, Value: value})
 }
 
-// loadModel restores the interference model that the previous leader saved; if that fails, the term starts with an empty one.
+// loadModel restores the interference model that the previous leader saved; if that fails, the model starts empty.
 func (t *term) loadModel(ctx context.Context) {
 	item, err := t.store.Get(ctx, record.PressureKey)
 	if err == nil && item.Revision() > 0 {
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -24,7 +24,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// pipeNetwork is a network in memory: listeners by name.
+// pipeNetwork is an in-memory network that maps names to listeners.
 type pipeNetwork map[string]chan net.Conn
 
 func (p pipeNetwork) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -59,7 +59,7 @@
 
 func (pipeListener) Addr() net.Addr { return &net.IPAddr{} }
 
-// simulation is a leader, agents and workers in one fake time: the real ones but for the workers.
+// simulation is a real leader and real agents with model workers, all in synthetic time.
 type simulation struct {
 	t       *testing.T
 	ctx     context.Context
@@ -68,7 +68,7 @@
 	workers []*modelWorker
 	agents  []*runner.Runner
 	leaders int
-	// depose ends the present leader, killAgent the agent of a VM.
+	// depose ends the present leader; killAgent ends the agent of each VM.
 	depose             func()
 	killAgent          []func()
 	uptime             *boottimetest.Clock
@@ -80,16 +80,16 @@
 }
 
 const (
-	// simulatedDowntime is how long a worker that crashed does not answer, and heartbeats how often it reports.
+	// simulatedDowntime is how long a crashed worker does not answer, simulatedHeartbeatInterval the time between heartbeats.
 	simulatedDowntime          = 600 * time.Millisecond
 	simulatedHeartbeatInterval = 700 * time.Millisecond
-	// simulatedStep is how often a worker looks whether something has ended.
+	// simulatedStep is the time between two checks of a worker for ended runs.
 	simulatedStep = 5 * time.Millisecond
 )
 
-func newSimulation(ctx context.Context, t *testing.T, vms int, lasting bool) *simulation {
+func newSimulation(ctx context.Context, t *testing.T, vms int, longRunning bool) *simulation {
 	p := &simulation{
-		t: t, ctx: ctx, store: kvtest.New(), network: make(pipeNetwork), uptime: &boottimetest.Clock{}, longRunning: lasting,
+		t: t, ctx: ctx, store: kvtest.New(), network: make(pipeNetwork), uptime: &boottimetest.Clock{}, longRunning: longRunning,
 		taskTime: 400 * time.Millisecond, done: make(map[host.Run]bool),
 	}
 	for n := range vms {
@@ -102,7 +102,7 @@
 	return p
 }
 
-// elect lets another process lead.
+// elect replaces the leader by another process.
 func (p *simulation) elect() {
 	if p.depose != nil {
 		p.depose()
@@ -116,12 +116,12 @@
 	p.network[name] = make(chan net.Conn)
 	server := rpc.Serve(pipeListener{conns: p.network[name], closed: make(chan struct{})}, "", mux, rpc.ProcessLimits())
 	ctx, cancel := context.WithCancel(p.ctx)
-	lead, err := d.tryAcquire(ctx)
+	t, err := d.tryAcquire(ctx)
 	assert.NilError(p.t, err)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		d.serveTerm(ctx, lead)
+		d.serveTerm(ctx, t)
 	}()
 	p.depose = func() {
 		cancel()
@@ -130,7 +130,7 @@
 	}
 }
 
-// startAgent starts the agent of a VM, in place of one that was killed.
+// startAgent starts the agent of a VM, at first or after killAgent.
 func (p *simulation) startAgent(n int) {
 	health := &kv.Health{}
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
@@ -153,7 +153,7 @@
 	}
 }
 
-// submitJob accepts a job of one task.
+// submitJob stores an accepted job of one task.
 func (p *simulation) submitJob() {
 	spec := job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: p.taskTime, LongRunning: p.longRunning}}}
 	value, err := job.Encode(spec, job.Queue{Service: testService, Attempts: 3, Stretch: 2}, time.Now())
@@ -162,7 +162,7 @@
 	assert.NilError(p.t, err)
 }
 
-// state returns the state of the job by the store.
+// state returns the stored state of the job.
 func (p *simulation) state() job.State {
 	item, err := p.store.Get(p.ctx, record.ProgressKey(testJob))
 	if err != nil || item.Revision() == 0 {
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -10,8 +10,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/pacing"
 )
 
-// TestLongTaskWithSlowProgressIsNotStalled failed with a task of ten minutes, whose progress changes every six seconds, that was
-// stopped every 2.5 seconds.
+// TestLongTaskWithSlowProgressIsNotStalled guards against a task of ten minutes that is stopped every 2.5 seconds, since its
+// progress changes only every six seconds.
 func TestLongTaskWithSlowProgressIsNotStalled(t *testing.T) {
 	long := &placedRun{step: &job.Step{Estimate: 10 * time.Minute}, committed: true, startSentAt: time.Now(), progressedAt: time.Now().Add(-6 * time.Second)}
 	assert.Assert(t, !long.stalled())
@@ -19,21 +19,21 @@
 	assert.Assert(t, long.stalled())
 }
 
-// TestThreeSamplesWithoutProgressShowAStall: one that shows no progress in three figures is started elsewhere sooner than one of
-// which nothing is heard.
+// TestThreeSamplesWithoutProgressShowAStall checks that a task without progress in three samples is restarted elsewhere
+// sooner than a task without reports.
 func TestThreeSamplesWithoutProgressShowAStall(t *testing.T) {
-	seen := &placedRun{step: &job.Step{Estimate: time.Second}, committed: true, startSentAt: time.Now()}
-	seen.updateProgress(0, 0)
+	sampled := &placedRun{step: &job.Step{Estimate: time.Second}, committed: true, startSentAt: time.Now()}
+	sampled.updateProgress(0, 0)
 	for range stallSamples {
-		seen.stallSampledAt = time.Now().Add(-sampleInterval)
-		seen.updateProgress(0, pacing.Full)
+		sampled.stallSampledAt = time.Now().Add(-sampleInterval)
+		sampled.updateProgress(0, pacing.Full)
 	}
-	seen.progressedAt = time.Now().Add(-observedStallTimeout)
-	assert.Assert(t, seen.stalled())
-	silent := &placedRun{step: seen.step, committed: true, startSentAt: time.Now(), progressedAt: seen.progressedAt}
-	assert.Assert(t, !silent.stalled())
-	silent.progressedAt = time.Now().Add(-stallTimeout)
-	assert.Assert(t, silent.stalled())
-	seen.updateProgress(1, pacing.Full)
-	assert.Assert(t, !seen.stalled())
+	sampled.progressedAt = time.Now().Add(-observedStallTimeout)
+	assert.Assert(t, sampled.stalled())
+	unreported := &placedRun{step: sampled.step, committed: true, startSentAt: time.Now(), progressedAt: sampled.progressedAt}
+	assert.Assert(t, !unreported.stalled())
+	unreported.progressedAt = time.Now().Add(-stallTimeout)
+	assert.Assert(t, unreported.stalled())
+	sampled.updateProgress(1, pacing.Full)
+	assert.Assert(t, !sampled.stalled())
 }
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -21,19 +21,20 @@
 )
 
 const (
-	// stormReportInterval is how often the agents of a storm report, stormWork how long a task works there.
+	// stormReportInterval is the time between two reports of an agent, stormTaskTime the run time of a task.
 	stormReportInterval = 50 * time.Millisecond
 	stormTaskTime       = time.Second
-	// stormCrashDelay is how long after its start a task crashes its worker, stormDown how long that is away then.
+	// stormCrashDelay is the default age at which a crashing task crashes its worker, stormDowntime how long the worker is
+	// down afterwards.
 	stormCrashDelay = 10 * time.Millisecond
 	stormDowntime   = 3 * time.Second
 	stormTasks      = 6
-	// stormProgressTime is how long a task works at the most; it gets on for as long.
+	// stormProgressTime is the age at which a task would report 100 percent, longer than any task runs, so that none stalls.
 	stormProgressTime  = 20 * time.Second
 	stormBurstInterval = 4 * time.Second
 )
 
-// crashStorm is a load in which some tasks crash each worker that starts them, and some workers crash by themselves.
+// crashStorm is a load in which some tasks crash each worker that starts them, and some workers crash at random.
 type crashStorm struct {
 	t       *testing.T
 	store   *kvtest.Store
@@ -41,15 +42,16 @@
 	workers []*stormWorker
 	random  *rand.Rand
 	jobs    []job.ID
-	// lostAnswers is the share of starts whose answer is lost, strikes how many workers a second crash by themselves.
+	// lostAnswers is the share of starts whose answer is lost, randomCrashes the number of workers per second that crash at
+	// random.
 	lostAnswers   float64
 	randomCrashes float64
-	// burstSize is how many workers crash together every stormBurst.
+	// burstSize is the number of workers that crash simultaneously every stormBurstInterval.
 	burstSize int
 	lastBurst time.Time
-	// crashAfter is how long after its start a task crashes its worker.
+	// crashAfter is the age at which a crashing task crashes its worker.
 	crashAfter time.Duration
-	// unreported says that each agent ends with its worker, so that nobody tells of crashes.
+	// unreported says that each agent ends with its worker, so that no agent reports crashes.
 	unreported bool
 	crashing   map[job.ID]bool
 	starts     map[string]int
@@ -57,13 +59,13 @@
 	drainTime  time.Duration
 }
 
-// stormWorker is a worker with its agent.
+// stormWorker is a simulated worker with its agent.
 type stormWorker struct {
 	agent        *fakeAgent
 	incarnations int
 	running      map[link.Run]*stormRun
 	ended        []link.Ended
-	// rejected are told once.
+	// rejected are the refused starts, which are reported once.
 	rejected     []link.Rejected
 	lastEnd      uint64
 	crashReports []link.Crash
@@ -90,22 +92,22 @@
 	return s
 }
 
-// elect lets another process lead.
+// elect replaces the leader by another process.
 func (s *crashStorm) elect(name string) {
 	s.store.Revoke()
-	lead, err := newTestEntry(name, s.store).tryAcquire(s.t.Context())
+	leader, err := newTestEntry(name, s.store).tryAcquire(s.t.Context())
 	assert.NilError(s.t, err)
-	assert.NilError(s.t, lead.load(s.t.Context()))
-	s.leader = lead
+	assert.NilError(s.t, leader.load(s.t.Context()))
+	s.leader = leader
 }
 
-// submit hands in a job, of which the first task may crash its workers.
+// submit submits a job whose first task crashes its workers if crashes is set.
 func (s *crashStorm) submit(crashes bool) {
 	id := s.submitStep(job.Step{Count: stormTasks, Size: job.Size{CPU: 500, Memory: 100}, Estimate: stormTaskTime})
 	s.crashing[id] = crashes
 }
 
-// submitStep hands in a job of one step.
+// submitStep submits a job of one step.
 func (s *crashStorm) submitStep(step job.Step) job.ID {
 	id := job.ID(fmt.Sprintf("%016x", len(s.jobs)+1))
 	value, err := job.Encode(job.Spec{Text: "x", Steps: []job.Step{step}}, job.Queue{Service: testService, Attempts: 2, Stretch: 2}, time.Now())
@@ -118,7 +120,7 @@
 	return id
 }
 
-// step lets each worker and its agent work, and the lead answer them.
+// step advances each worker by one report interval and delivers the leader's orders.
 func (s *crashStorm) step() {
 	assert.NilError(s.t, s.leader.closures.Load(s.t.Context()))
 	s.crashBurst()
@@ -134,7 +136,7 @@
 	time.Sleep(stormReportInterval)
 }
 
-// crashBurst lets some workers crash at one moment, now and then.
+// crashBurst crashes burstSize workers simultaneously, once in stormBurstInterval.
 func (s *crashStorm) crashBurst() {
 	if s.burstSize == 0 || time.Since(s.lastBurst) < stormBurstInterval {
 		return
@@ -147,7 +149,7 @@
 	}
 }
 
-// reportDown tells the lead of a worker that is away.
+// reportDown reports a worker that is down.
 func (s *crashStorm) reportDown(w *stormWorker) {
 	r := link.Report{
 		VM: w.agent.vm, Epoch: s.leader.epoch, Instance: fmt.Sprintf("%s-%d", w.agent.vm, w.incarnations-1), Service: testService, CPU: 32000,
@@ -157,14 +159,14 @@
 	assert.NilError(s.t, err)
 }
 
-// advance ends what is done, and crashes the worker where a task does or by chance.
+// advance ends the tasks whose run time is over, or crashes the worker if a task does so or at random.
 func (s *crashStorm) advance(w *stormWorker) {
-	crashes := s.random.Float64() < s.randomCrashes*stormReportInterval.Seconds()/float64(len(s.workers))
+	crashed := s.random.Float64() < s.randomCrashes*stormReportInterval.Seconds()/float64(len(s.workers))
 	for run, r := range w.running {
 		id, _ := run.TaskID()
-		crashes = crashes || s.crashing[id.Job] && id.Index == 0 && time.Since(r.startedAt) >= s.crashAfter
+		crashed = crashed || s.crashing[id.Job] && id.Index == 0 && time.Since(r.startedAt) >= s.crashAfter
 	}
-	if crashes && !time.Now().Before(w.upAt) {
+	if crashed && !time.Now().Before(w.upAt) {
 		s.crash(w)
 		return
 	}
@@ -177,25 +179,25 @@
 	}
 }
 
-// crash ends a life of the worker; its agent tells of it with the next one.
+// crash ends the incarnation of a worker; its agent reports the crash with the next incarnation.
 func (s *crashStorm) crash(w *stormWorker) {
 	w.lastCrash++
-	told := link.Crash{Number: w.lastCrash, Instance: w.instance()}
+	report := link.Crash{Number: w.lastCrash, Instance: w.instance()}
 	for run, r := range w.running {
-		told.Runs = append(told.Runs, link.CrashedRun{Run: run, Answered: r.answered, AgeMillis: (time.Since(r.startedAt) - stormReportInterval).Milliseconds()})
+		report.Runs = append(report.Runs, link.CrashedRun{Run: run, Answered: r.answered, AgeMillis: (time.Since(r.startedAt) - stormReportInterval).Milliseconds()})
 	}
 	w.incarnations++
 	w.running, w.ended, w.lastEnd, w.agent.pendingOrders = make(map[link.Run]*stormRun), nil, 0, nil
 	w.crashedAt, w.upAt = time.Now(), time.Now().Add(stormDowntime)
 	if !s.unreported {
-		w.crashReports = append(w.crashReports, told)
+		w.crashReports = append(w.crashReports, report)
 	}
 	s.crashes++
 }
 
 func (w *stormWorker) instance() string { return fmt.Sprintf("%s-%d", w.agent.vm, w.incarnations) }
 
-// report tells the lead what the worker has.
+// report sends the worker's report to the leader and processes the acknowledgements.
 func (s *crashStorm) report(w *stormWorker) {
 	r := w.reportTo(s.leader)
 	answered := make(chan link.ReportAnswer, 1)
@@ -214,10 +216,10 @@
 	}
 }
 
-// reportTo returns a report of what the worker has.
-func (w *stormWorker) reportTo(lead *term) link.Report {
+// reportTo returns a report of the worker's state for a leader.
+func (w *stormWorker) reportTo(leader *term) link.Report {
 	r := link.Report{
-		VM: w.agent.vm, Epoch: lead.epoch, Instance: w.instance(), Service: testService, CPU: 32000, Memory: 128000, Fenced: true,
+		VM: w.agent.vm, Epoch: leader.epoch, Instance: w.instance(), Service: testService, CPU: 32000, Memory: 128000, Fenced: true,
 		Ended: w.ended, Rejected: w.rejected,
 	}
 	w.rejected = nil
@@ -225,16 +227,16 @@
 		c.FirstFailureMillis = max(time.Since(w.crashedAt).Milliseconds(), 1)
 		r.Crashes = append(r.Crashes, c)
 	}
-	for run, had := range w.running {
-		lived := time.Since(had.startedAt)
+	for run, state := range w.running {
+		age := time.Since(state.startedAt)
 		r.Running = append(r.Running, link.Running{
-			Run: run, Pace: 100, Percent: int(100 * lived / stormProgressTime), Fresh: lived < crash.StartupTime,
+			Run: run, Pace: 100, Percent: int(100 * age / stormProgressTime), Fresh: age < crash.StartupTime,
 		})
 	}
 	return r
 }
 
-// deliver starts what the lead ordered.
+// deliver starts the runs that the leader ordered.
 func (s *crashStorm) deliver(w *stormWorker) {
 	for _, orders := range w.agent.pendingOrders {
 		for _, start := range orders.Starts {
@@ -247,37 +249,37 @@
 	w.agent.pendingOrders = nil
 }
 
-// jobCounts sums up what callers got: jobs given up rightly and wrongly, jobs done, and those not ended.
+// jobCounts counts the outcomes of jobs for their callers: given up rightly and wrongly, completed, and not ended.
 type jobCounts struct{ failedRightly, failedWrongly, done, open int }
 
 func (s *crashStorm) countJobs() jobCounts {
-	var f jobCounts
+	var counts jobCounts
 	for _, id := range s.jobs {
 		switch state := s.leader.jobs[id].job.State(); {
 		case state == job.Failed && s.crashing[id]:
-			f.failedRightly++
+			counts.failedRightly++
 		case state == job.Failed:
-			f.failedWrongly++
+			counts.failedWrongly++
 		case state == job.Completed:
-			f.done++
+			counts.done++
 		default:
-			f.open++
+			counts.open++
 		}
 	}
-	return f
+	return counts
 }
 
-// run hands jobs in for some seconds, some of which crash their workers, and lets the rest end.
-func (s *crashStorm) run(jobs, crashing, changes int) {
-	const every, rest = 200 * time.Millisecond, 40 * time.Second
-	length := time.Duration(jobs) * every
-	began, submitted, elected := time.Now(), 0, 0
-	for time.Since(began) < length+rest {
-		for submitted < jobs && time.Since(began) >= time.Duration(submitted)*every {
+// run submits jobs, some of which crash their workers, and waits until all have ended.
+func (s *crashStorm) run(jobs, crashing, leaderChanges int) {
+	const interval, maxDrainTime = 200 * time.Millisecond, 40 * time.Second
+	length := time.Duration(jobs) * interval
+	start, submitted, elected := time.Now(), 0, 0
+	for time.Since(start) < length+maxDrainTime {
+		for submitted < jobs && time.Since(start) >= time.Duration(submitted)*interval {
 			s.submit(crashing > 0 && submitted%max(jobs/crashing, 1) == 0)
 			submitted++
 		}
-		if elected < changes && time.Since(began) >= time.Duration(elected+1)*length/time.Duration(changes+1) {
+		if elected < leaderChanges && time.Since(start) >= time.Duration(elected+1)*length/time.Duration(leaderChanges+1) {
 			elected++
 			s.elect(fmt.Sprintf("e%d", elected))
 		}
@@ -286,17 +288,17 @@
 			break
 		}
 	}
-	s.drainTime = time.Since(began) - length
+	s.drainTime = time.Since(start) - length
 }
 
-// stormScenario is a line of a file of storms, with how many jobs may be given up wrongly and how many workers may crash.
+// stormScenario is a line of a scenario file, with the greatest allowed numbers of jobs given up wrongly and of crashes.
 type stormScenario struct {
 	workers, jobs, crashing, leaderChanges, burstSize int
 	lostAnswers, randomCrashes                        float64
 	maxFailedWrongly, maxCrashes                      int
 }
 
-// runScenarios plays each line of a file as a test of its own, with three seeds.
+// runScenarios runs each line of a scenario file as a subtest with three seeds.
 func runScenarios(t *testing.T, name string, prepare func(*crashStorm)) {
 	t.Helper()
 	file, err := os.Open(name)
@@ -307,49 +309,46 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		var l stormScenario
+		var c stormScenario
 		_, err := fmt.Sscanf(line, "workers=%d jobs=%d crashing=%d changes=%d unanswered=%f strikes=%f burst=%d -> wrongly<=%d crashes<=%d",
-			&l.workers, &l.jobs, &l.crashing, &l.leaderChanges, &l.lostAnswers, &l.randomCrashes, &l.burstSize, &l.maxFailedWrongly, &l.maxCrashes)
+			&c.workers, &c.jobs, &c.crashing, &c.leaderChanges, &c.lostAnswers, &c.randomCrashes, &c.burstSize, &c.maxFailedWrongly, &c.maxCrashes)
 		assert.NilError(t, err, line)
 		t.Run(strings.ReplaceAll(line, " ", "_"), func(t *testing.T) {
 			for seed := range uint64(3) {
-				synctest.Test(t, func(t *testing.T) { l.run(t, seed, prepare) })
+				synctest.Test(t, func(t *testing.T) { c.run(t, seed, prepare) })
 			}
 		})
 	}
 }
 
-// run plays a load and judges what callers get: jobs that crash their workers are given up, the others done, and no task that crashes
-// its workers is started more often than the platform allows.
-func (l stormScenario) run(t *testing.T, seed uint64, prepare func(*crashStorm)) {
+// run runs a scenario and checks the outcome: jobs that crash their workers are given up, the others complete, and no task
+// that crashes its workers is started more often than the platform allows.
+func (c stormScenario) run(t *testing.T, seed uint64, prepare func(*crashStorm)) {
 	t.Helper()
-	s := newCrashStorm(t, seed, l.workers)
-	s.lostAnswers, s.randomCrashes, s.burstSize, s.lastBurst = l.lostAnswers, l.randomCrashes, l.burstSize, time.Now()
+	s := newCrashStorm(t, seed, c.workers)
+	s.lostAnswers, s.randomCrashes, s.burstSize, s.lastBurst = c.lostAnswers, c.randomCrashes, c.burstSize, time.Now()
 	prepare(s)
-	s.run(l.jobs, l.crashing, l.leaderChanges)
-	f := s.countJobs()
-	t.Logf("seed %d: %+v, %d crashes, ended %v after the last was handed in", seed, f, s.crashes, s.drainTime)
-	assert.Equal(t, f.open, 0)
-	assert.Equal(t, f.failedRightly, l.crashing)
-	assert.Assert(t, f.failedWrongly <= l.maxFailedWrongly, "%d jobs were given up that crash no worker", f.failedWrongly)
-	assert.Assert(t, s.crashes <= l.maxCrashes, "%d workers crashed", s.crashes)
+	s.run(c.jobs, c.crashing, c.leaderChanges)
+	counts := s.countJobs()
+	t.Logf("seed %d: %+v, %d crashes, ended %v after the last was submitted", seed, counts, s.crashes, s.drainTime)
+	assert.Equal(t, counts.open, 0)
+	assert.Equal(t, counts.failedRightly, c.crashing)
+	assert.Assert(t, counts.failedWrongly <= c.maxFailedWrongly, "%d jobs that crash no worker were given up", counts.failedWrongly)
+	assert.Assert(t, s.crashes <= c.maxCrashes, "%d workers crashed", s.crashes)
 	for task, starts := range s.starts {
 		id, _ := job.ParseTaskID(task)
 		assert.Assert(t, !s.crashing[id.Job] || id.Index > 0 || starts <= 5, "%s was started %d times", task, starts)
 	}
 }
 
-// TestCrashStorms plays loads in which agents tell of crashes.
+// TestCrashStorms runs crash storms in which agents report crashes.
 func TestCrashStorms(t *testing.T) { runScenarios(t, "testdata/storms.txt", func(*crashStorm) {}) }
 
-// TestCrashStormsWithoutReports plays what callers saw where agents die with their workers: jobs that crash no worker were given up
-// beside some that do.
-//
-// Order of events: a worker is lost with all that it ran; it begins anew, empty, and suits all of it best; so the same tasks lay
-// beside the same cause five times in a row, on one VM.
-//
-// Cause: a loss of which nobody tells was counted alike against all that ran there, though the lead itself had seen for how long each did,
-// and which had not outlived its start. Evidence: the lead's log, five runs of each on one VM, 16 ms after its new life.
+// TestCrashStormsWithoutReports guards against giving up jobs that crash no worker, as callers saw where agents end together
+// with their workers. A restarted worker is empty and suits all tasks that it lost best, so the same tasks ran beside the
+// same crashing task five times in a row on one VM, 16 ms after each new incarnation by the leader's log. An unreported loss
+// counted equally against all of them, though the leader had observed how long each ran and which had not survived its
+// startup.
 func TestCrashStormsWithoutReports(t *testing.T) {
 	for _, after := range []time.Duration{stormCrashDelay, 400 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -48,7 +48,7 @@
 	return true
 }
 
-// countUnproven counts the runs on the worker that have not survived their startup, and clears its reservation for a suspect.
+// countUnproven counts the runs on the worker that have not survived their startup, and clears its reservation for suspects.
 func (h *hostState) countUnproven() {
 	w := &h.worker
 	w.Starting, w.SuspectStarting, w.ReservedForSuspect = 0, false, false
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -14,20 +14,20 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// changingStore is a store during whose commits something changes.
+// changingStore is a store that calls a function during each commit.
 type changingStore struct {
 	*kvtest.Store
 	duringCommit func()
 }
 
-func (s changingStore) Commit(ctx context.Context, change kv.Txn) (kv.Revision, error) {
+func (s changingStore) Commit(ctx context.Context, txn kv.Txn) (kv.Revision, error) {
 	time.Sleep(10 * time.Millisecond)
 	s.duringCommit()
-	return s.Store.Commit(ctx, change)
+	return s.Store.Commit(ctx, txn)
 }
 
-// TestSchedulingContinuesUnderConstantCommits failed with a short task that was not placed for as long as ends of other
-// jobs came in with each commit.
+// TestSchedulingContinuesUnderConstantCommits guards against a short task that is not placed as long as other jobs change
+// during each commit.
 func TestSchedulingContinuesUnderConstantCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -61,7 +61,7 @@
 	})
 }
 
-// TestUrgentJobsAreCommittedFirst: a placement of short work does not wait for ends of batch.
+// TestUrgentJobsAreCommittedFirst checks that the placement of a task does not wait for the changes of less urgent jobs.
 func TestUrgentJobsAreCommittedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		term := testTerm(t, kvtest.New())
