--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -57,14 +57,14 @@
 }
 
 const (
-	// simultaneousWindow is the greatest measured distance of crashes with one cause: agents report first failed calls to
-	// the millisecond, and the delays of their messages add to it.
+	// simultaneousWindow is the greatest time between two crashes that count as simultaneous: agents report the first failed
+	// call to the millisecond, and message delays add to it.
 	simultaneousWindow = 100 * time.Millisecond
-	// minSimultaneous is the number of other workers that crash simultaneously from which a common cause is likely: tasks
-	// placed by one plan can crash two workers simultaneously as well.
+	// minSimultaneous is the least number of other workers that must crash simultaneously for a likely common cause; one is
+	// not enough, since tasks placed by one plan can crash two workers simultaneously.
 	minSimultaneous = 2
-	// minSimultaneousLosses is the number of other workers that crash simultaneously from which a lost run counts as lost
-	// by chance.
+	// minSimultaneousLosses is the least number of other workers that must crash simultaneously for a lost run to count as
+	// lost by chance.
 	minSimultaneousLosses = 3
 )
 
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -103,7 +103,7 @@
 }
 
 // TestSimultaneousCrashesHaveACommonCause checks that a task that was starting on one of the workers is only a possible
-// cause, and no suspect.
+// cause, so that it does not wait for a worker of its own.
 func TestSimultaneousCrashesHaveACommonCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for others, crashes := range map[int]int{minSimultaneous - 1: 1, minSimultaneous: 0} {
--- a/internal/dispatch/planning.go
+++ b/internal/dispatch/planning.go
@@ -22,7 +22,8 @@
 	stallEstimateShare = 0.05
 )
 
-// expireWorkers marks workers unreachable after the expiry of the agent lease, and unschedulable after maxReportAge.
+// expireWorkers marks workers unschedulable after maxReportAge without a report, and unreachable once the agent lease has
+// expired.
 func (t *term) expireWorkers() {
 	now := time.Now()
 	t.expireUnreachable(now)
--- a/internal/dispatch/savedmodel.go
+++ b/internal/dispatch/savedmodel.go
@@ -8,8 +8,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// modelSaveInterval is the least time between two saves of the interference model, each part of a commit of jobs: a few
-// hundred bytes, without which the next leader places tasks that interfere for some ten seconds.
+// modelSaveInterval is the least time between two saves of the interference model, each part of a commit of jobs. The model
+// has a few hundred bytes; without it the next leader would place interfering tasks for some ten seconds.
 const modelSaveInterval = 3 * time.Second
 
 // addModel adds the interference model to a batch that commits jobs, if its save is due.
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -116,12 +116,12 @@
 	p.network[name] = make(chan net.Conn)
 	server := rpc.Serve(pipeListener{conns: p.network[name], closed: make(chan struct{})}, "", mux, rpc.ProcessLimits())
 	ctx, cancel := context.WithCancel(p.ctx)
-	t, err := d.tryAcquire(ctx)
+	leader, err := d.tryAcquire(ctx)
 	assert.NilError(p.t, err)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		d.serveTerm(ctx, t)
+		d.serveTerm(ctx, leader)
 	}()
 	p.depose = func() {
 		cancel()
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -19,7 +19,7 @@
 	reserveDivisor = 2
 )
 
-// recordStartupSurvival records that a run has survived its startup time, which updates the crash history of its task.
+// recordStartupSurvival records that a run has survived its startup time, which reduces the suspicion of its task.
 func (t *term) recordStartupSurvival(h *hostState, id job.TaskID, p *placedRun) {
 	if !p.survivedStart {
 		p.survivedStart, p.survivedStartAt = true, time.Now()
