--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -89,8 +89,8 @@
 	return listener, nil
 }
 
-// RefusePlainly answers what the server turns away with a plain sentence.
-func RefusePlainly(ctx *fasthttp.RequestCtx, err error) {
+// RefuseAsText answers what the server turns away with a plain sentence.
+func RefuseAsText(ctx *fasthttp.RequestCtx, err error) {
 	ctx.Error(err.Error()+"\n", refusalStatus(err))
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -49,7 +49,7 @@
 	Control  net.Listener
 	Address  string
 	Timing   Timing
-	Lead     leader.Timing
+	Leader   leader.Timing
 	Store    store.Store
 	VMs      vmlist.List
 	Worker   worker.Worker
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -56,7 +56,7 @@
 // change is a message that takes the run "a" away and adds "b".
 func change(base, position control.Position) control.Desired {
 	d := desired(position, "boot", "b")
-	d.Base, d.Gone = base, []control.Run{{Job: "a", Incarnation: 1}}
+	d.Base, d.Removed = base, []control.Run{{Job: "a", Incarnation: 1}}
 	return d
 }
 
@@ -66,7 +66,7 @@
 	assert.Equal(t, len(got.Runs), 2)
 	assert.Equal(t, got.Runs[0].Run.Job, "b")
 	assert.Equal(t, got.Runs[1].Run.Job, "c")
-	assert.Assert(t, got.IsWhole() && got.Position == second)
+	assert.Assert(t, got.IsFull() && got.Position == second)
 }
 
 func TestTakeDesired(t *testing.T) {
@@ -104,7 +104,7 @@
 	a, _ := adopted(t)
 	_, err := a.takeDesired(t.Context(), nil, desired(control.Position{Epoch: 2, Revision: 5}, "boot"))
 	assert.NilError(t, err)
-	acked := control.BeatAnswer{Known: true, Epoch: 1, Acked: []control.Run{{Job: "old", Incarnation: 1}}}
+	acked := control.HeartbeatAnswer{Known: true, Epoch: 1, Acked: []control.Run{{Job: "old", Incarnation: 1}}}
 	assert.Equal(t, fault.KindOf(a.takeAnswer(t.Context(), nil, acked, sentState{})), fault.Stale)
 	assert.Equal(t, len(a.runs), 1)
 }
--- a/internal/agent/uplink.go
+++ b/internal/agent/heartbeat.go
@@ -93,13 +93,13 @@
 		return fault.New(fault.Unavailable, "this agent does not stand for lead")
 	}
 	asked := time.Now()
-	lease, err := a.Store.Acquire(ctx, leader.LeaseName(a.cell()), a.Address, a.Lead.Lease)
+	lease, err := a.Store.Acquire(ctx, leader.LeaseName(a.cell()), a.Address, a.Leader.Lease)
 	if err != nil {
 		return err
 	}
 	l := leader.New(leader.Config{
-		Cell: a.cell(), Agent: a.ID, Address: a.Address, Timing: a.Lead, Store: a.Store, VMs: a.VMs,
-		Logger: a.Logger.Part("lead"), Recorder: a.Recorder,
+		Cell: a.cell(), Agent: a.ID, Address: a.Address, Timing: a.Leader, Store: a.Store, VMs: a.VMs,
+		Logger: a.Logger.Named("lead"), Recorder: a.Recorder,
 	})
 	a.mu.Lock()
 	a.lead = l
@@ -165,21 +165,21 @@
 	message, sent := a.compose(introduce)
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
-	answer, err := rpc.Call[control.Beat, control.BeatAnswer](ctx, peer, control.MethodBeat, message)
+	answer, err := rpc.Call[control.Heartbeat, control.HeartbeatAnswer](ctx, peer, control.MethodHeartbeat, message)
 	if err != nil {
 		return false, err
 	}
 	if !answer.Known {
 		return false, nil
 	}
-	if err := a.takeAnswer(ctx, peer, answer, sent); err != nil || !answer.Lapsed {
+	if err := a.takeAnswer(ctx, peer, answer, sent); err != nil || !answer.LeaseExpired {
 		return true, err
 	}
 	return true, leader.CheckSuperseded(ctx, a.Store, a.cell(), address)
 }
 
 // takeAnswer acts on the answer to a beat, unless it is of a lead of the past, which may know less than the next.
-func (a *Agent) takeAnswer(ctx context.Context, peer *rpc.Peer, answer control.BeatAnswer, sent sentState) error {
+func (a *Agent) takeAnswer(ctx context.Context, peer *rpc.Peer, answer control.HeartbeatAnswer, sent sentState) error {
 	a.mu.Lock()
 	isPast := answer.Epoch < a.desired.Position.Epoch
 	if !isPast {
@@ -198,12 +198,12 @@
 }
 
 // compose makes the next beat, with what changed since the last one that was answered.
-func (a *Agent) compose(introduce bool) (control.Beat, sentState) {
+func (a *Agent) compose(introduce bool) (control.Heartbeat, sentState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	message := control.Beat{
-		Instance: a.description.Instance(), Boot: a.Boot, Have: a.desired.Position, Applied: a.applied,
-		Stopping: a.stopping, Pressed: a.remedies.BlocksBatch(), Evict: a.evict,
+	message := control.Heartbeat{
+		Instance: a.description.Instance(), Boot: a.Boot, Received: a.desired.Position, Applied: a.applied,
+		Stopping: a.stopping, BatchBlocked: a.remedies.BlocksBatch(), Evict: a.evict,
 	}
 	if introduce {
 		message.Profile = a.profile()
@@ -222,7 +222,7 @@
 	}
 	for run := range a.sent.statuses {
 		if _, ok := sent.statuses[run]; !ok {
-			message.Gone = append(message.Gone, run)
+			message.Removed = append(message.Removed, run)
 		}
 	}
 	a.composeMeasurements(&message, &sent)
@@ -232,12 +232,12 @@
 func statusOf(r *run) control.Status {
 	return control.Status{
 		Run: control.EncodeRun(r.status.Run()), Workload: r.status.Workload(), State: r.status.State().String(),
-		Serves: r.status.Address() != "",
+		IsReplica: r.status.Address() != "",
 	}
 }
 
 // composeMeasurements adds the usage that moved by more than a step, and the latencies; a.mu is held.
-func (a *Agent) composeMeasurements(message *control.Beat, sent *sentState) {
+func (a *Agent) composeMeasurements(message *control.Heartbeat, sent *sentState) {
 	for key, u := range a.usage {
 		before, now := a.sent.usage[key], u.Used().Processors()+u.Used().Memory()
 		if float64(now) <= float64(before)*usageStep && float64(before) <= float64(now)*usageStep {
--- a/internal/agent/measure.go
+++ b/internal/agent/measure.go
@@ -78,8 +78,8 @@
 		}
 		band := interference.BandOf(m.Load())
 		bands[m.Service()] = band
-		slowdown := a.model.Observe(m.Service(), band, given, m.Run(), m.Samples(), now)
-		in.LatencyRatio, in.Slowdown = max(in.LatencyRatio, m.Ratio()), max(in.Slowdown, slowdown)
+		slowdown := a.model.Observe(m.Service(), band, given, m.MeanRunTime(), m.Samples(), now)
+		in.LatencyRatio, in.Slowdown = max(in.LatencyRatio, m.LatencyRatio()), max(in.Slowdown, slowdown)
 		a.latency[m.Service()] = latencyWire(m, given)
 	}
 	in.Loads = a.loads(bands, now)
@@ -92,7 +92,7 @@
 
 func latencyWire(m gate.Measurement, neighbors []interference.Neighbor) control.Latency {
 	wire := control.Latency{
-		Service: m.Service(), Load: rounded(m.Load()), Ratio: rounded(m.Ratio()), RunMicros: m.Run().Microseconds(), Samples: m.Samples(),
+		Service: m.Service(), Load: rounded(m.Load()), Ratio: rounded(m.LatencyRatio()), MeanRunMicros: m.MeanRunTime().Microseconds(), Samples: m.Samples(),
 	}
 	for _, n := range neighbors {
 		wire.Neighbors = append(wire.Neighbors, control.Neighbor{Workload: n.Workload(), Share: rounded(n.Share())})
--- a/internal/agent/protocol_steps_test.go
+++ b/internal/agent/protocol_steps_test.go
@@ -113,7 +113,7 @@
 	id := fmt.Sprint("job-", len(w.jobs))
 	accepted := make(chan error, 1)
 	go func() {
-		_, err := l.Submit(w.ctx, nil, control.Submit{ID: id, Workload: "mailing", Tasks: 3, Millis: time.Now().UnixMilli()})
+		_, err := l.Submit(w.ctx, nil, control.Submit{ID: id, Workload: "mailing", Tasks: 3, SubmittedMillis: time.Now().UnixMilli()})
 		accepted <- err
 	}()
 	synctest.Wait()
--- a/internal/agent/protocol_test.go
+++ b/internal/agent/protocol_test.go
@@ -243,7 +243,7 @@
 
 func TestMain(m *testing.M) {
 	proptest.FixSeed()
-	proptest.Checks("700")
+	proptest.SetChecks("700")
 	os.Exit(m.Run())
 }
 
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -24,7 +24,7 @@
 	if d.Position.Before(a.desired.Position) {
 		return control.Ack{}, fault.New(fault.Stale, "a later lead or a later message was here before")
 	}
-	if !d.IsWhole() && d.Base != a.desired.Position {
+	if !d.IsFull() && d.Base != a.desired.Position {
 		return control.Ack{}, fault.New(fault.Stale, "the change is of another position than the agent's")
 	}
 	a.desired, a.fresh = merged(a.desired, d), true
@@ -35,14 +35,14 @@
 
 // merged is what an agent is to run after a message, which may tell only what changed.
 func merged(before, d control.Desired) control.Desired {
-	if d.IsWhole() {
+	if d.IsFull() {
 		return d
 	}
-	changed := make(map[control.Run]struct{}, len(d.Runs)+len(d.Gone))
+	changed := make(map[control.Run]struct{}, len(d.Runs)+len(d.Removed))
 	for _, r := range d.Runs {
 		changed[r.Run] = struct{}{}
 	}
-	for _, run := range d.Gone {
+	for _, run := range d.Removed {
 		changed[run] = struct{}{}
 	}
 	for _, r := range before.Runs {
@@ -50,7 +50,7 @@
 			d.Runs = append(d.Runs, r)
 		}
 	}
-	d.Base, d.Gone = control.Position{}, nil
+	d.Base, d.Removed = control.Position{}, nil
 	return d
 }
 
@@ -334,7 +334,7 @@
 	}
 	a.leaving = leaving
 	if !leaving {
-		a.gate.Stay()
+		a.gate.Resume()
 		return
 	}
 	a.Recorder.Record(timeline.EndpointLeaving, timeline.Subject{Worker: a.description.Instance()}, "the VM leaves")
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -15,7 +15,7 @@
 	m := rpc.NewMux(a.Clock)
 	rpc.Handle(m, control.MethodDesired, a.takeDesired)
 	rpc.Handle(m, control.MethodAgentTimeline, a.events)
-	asLead(a, m, control.MethodBeat, (*leader.Leader).Heartbeat)
+	asLead(a, m, control.MethodHeartbeat, (*leader.Leader).Heartbeat)
 	asLead(a, m, control.MethodSubscribe, (*leader.Leader).Subscribe)
 	asLead(a, m, control.MethodSubmit, (*leader.Leader).Submit)
 	asLead(a, m, control.MethodJob, (*leader.Leader).Job)
@@ -42,6 +42,6 @@
 	})
 }
 
-func (a *Agent) events(_ context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.Wire, error) {
+func (a *Agent) events(_ context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.WireEvent, error) {
 	return timeline.Encode(a.Recorder.Since(timeline.Stamp(q.After))), nil
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -60,8 +60,8 @@
 	return counts
 }
 
-// All returns the endpoints of all services, each agent's address once.
-func (c *Catalog) All() []*Endpoint {
+// AgentEndpoints returns the endpoints of all services, each agent's address once.
+func (c *Catalog) AgentEndpoints() []*Endpoint {
 	byAddress := make(map[string]*Endpoint)
 	for _, endpoints := range *c.services.Load() {
 		for _, e := range endpoints {
@@ -83,16 +83,16 @@
 	known.peer = peer
 }
 
-// Drop forgets a cell that has no VMs any more.
-func (c *Catalog) Drop(cell string) {
+// RemoveCell forgets a cell that has no VMs any more.
+func (c *Catalog) RemoveCell(cell string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.cells, cell)
 	c.rebuild()
 }
 
-// Seen returns the position of the latest summary of a cell.
-func (c *Catalog) Seen(cell string) control.Position {
+// Position returns the position of the latest summary of a cell.
+func (c *Catalog) Position(cell string) control.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, ok := c.cells[cell]; ok {
@@ -101,8 +101,8 @@
 	return control.Position{}
 }
 
-// Take takes over a summary unless a later one is known.
-func (c *Catalog) Take(s control.Summary) {
+// Update takes over a summary unless a later one is known.
+func (c *Catalog) Update(s control.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, ok := c.cells[s.Cell]
@@ -113,8 +113,8 @@
 	c.rebuild()
 }
 
-// TakeLoad takes over the load of a cell.
-func (c *Catalog) TakeLoad(cell string, load control.Load) {
+// UpdateLoad takes over the load of a cell.
+func (c *Catalog) UpdateLoad(cell string, load control.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, ok := c.cells[cell]; ok {
@@ -209,8 +209,8 @@
 	return known.peer, nil
 }
 
-// Names returns the cells in order.
-func (c *Catalog) Names() []string {
+// CellNames returns the cells in order.
+func (c *Catalog) CellNames() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.cells))
@@ -242,17 +242,17 @@
 const waitingCost = 0.02
 
 func (c *Cell) roominess() float64 {
-	return float64(c.load.Room)/float64(max(c.load.Capacity, 1)) - waitingCost*float64(c.load.Waiting)
+	return float64(c.load.Free)/float64(max(c.load.Capacity, 1)) - waitingCost*float64(c.load.Waiting)
 }
 
-// HasLeads reports whether each known cell has a lead, and there is one.
-func (c *Catalog) HasLeads() bool {
+// HasLeaders reports whether each known cell has a lead, and there is one.
+func (c *Catalog) HasLeaders() bool {
 	return c.each(func(cell *Cell) bool { return cell.peer != nil })
 }
 
-// KnowsWorkers reports whether there is a cell, and each has a lead that has told of workers. A new lead is followed before it
+// WorkersReported reports whether there is a cell, and each has a lead that has told of workers. A new lead is followed before it
 // has heard of any, and that it knows of none then says nothing about them.
-func (c *Catalog) KnowsWorkers() bool {
+func (c *Catalog) WorkersReported() bool {
 	return c.each(func(cell *Cell) bool { return cell.peer != nil && cell.load.Capacity > 0 })
 }
 
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -16,10 +16,10 @@
 	c := &Catalog{cells: map[string]*Cell{"a": {name: "a", peer: &rpc.Peer{}}}}
 	size := resource.New(6000, 4000, 0)
 	assert.Equal(t, len(c.ForJob(size)), 0)
-	assert.Assert(t, !c.KnowsWorkers())
-	c.TakeLoad("a", control.Load{Room: 4000, Capacity: 4000, Largest: control.EncodeSize(resource.New(4000, 4000, 0))})
+	assert.Assert(t, !c.WorkersReported())
+	c.UpdateLoad("a", control.Load{Free: 4000, Capacity: 4000, Largest: control.EncodeSize(resource.New(4000, 4000, 0))})
 	assert.Equal(t, len(c.ForJob(size)), 0)
-	assert.Assert(t, c.KnowsWorkers(), "a cell of small workers is known to be one")
-	c.TakeLoad("a", control.Load{Room: 8000, Capacity: 8000, Largest: control.EncodeSize(resource.New(8000, 8000, 0))})
+	assert.Assert(t, c.WorkersReported(), "a cell of small workers is known to be one")
+	c.UpdateLoad("a", control.Load{Free: 8000, Capacity: 8000, Largest: control.EncodeSize(resource.New(8000, 8000, 0))})
 	assert.DeepEqual(t, c.ForJob(size), []string{"a"})
 }
--- a/internal/catalog/endpoint.go
+++ b/internal/catalog/endpoint.go
@@ -82,8 +82,8 @@
 // End takes note that a request is no longer in flight.
 func (e *Endpoint) End() { e.inFlight.Add(-1) }
 
-// Report takes note of the requests that the agent says it has in hand.
-func (e *Endpoint) Report(load int) { e.reported.Store(int64(load)) }
+// SetReportedLoad takes note of the requests that the agent says it has in hand.
+func (e *Endpoint) SetReportedLoad(load int) { e.reported.Store(int64(load)) }
 
 // Succeed takes note of an answer.
 func (e *Endpoint) Succeed() {
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -89,7 +89,7 @@
 		if _, ok := cells[cell]; !ok {
 			cancel()
 			delete(followed, cell)
-			f.Catalog.Drop(cell)
+			f.Catalog.RemoveCell(cell)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	mux := rpc.NewMux(f.Clock)
 	rpc.Handle(mux, control.MethodSummary, func(_ context.Context, _ *rpc.Peer, s control.Summary) (control.Ack, error) {
-		f.Catalog.Take(s)
+		f.Catalog.Update(s)
 		return control.Ack{}, nil
 	})
 	peer, err := rpc.Dial(ctx, held.Holder(), f.Secret, mux)
@@ -142,16 +142,16 @@
 	ctx, cancel := context.WithTimeout(ctx, subscribeTimeout)
 	defer cancel()
 	answer, err := rpc.Call[control.Subscribe, control.SubscribeAnswer](ctx, peer, control.MethodSubscribe,
-		control.Subscribe{Entry: f.Entry, Seen: f.Catalog.Seen(cell)})
+		control.Subscribe{Entry: f.Entry, Received: f.Catalog.Position(cell)})
 	if err != nil {
 		return err
 	}
 	if answer.Summary != nil {
-		f.Catalog.Take(*answer.Summary)
+		f.Catalog.Update(*answer.Summary)
 	}
-	f.Catalog.TakeLoad(cell, answer.Load)
+	f.Catalog.UpdateLoad(cell, answer.Load)
 	f.Catalog.SetPeer(cell, peer)
-	if answer.Lapsed {
+	if answer.LeaseExpired {
 		return leader.CheckSuperseded(ctx, f.Store, cell, address)
 	}
 	return nil
--- a/internal/connection/set.go
+++ b/internal/connection/set.go
@@ -71,8 +71,8 @@
 	return c, nil
 }
 
-// Unanswered takes note that a call got no answer: the connections that idle may be as silent as the one that it went by.
-func (s *Set) Unanswered() {
+// RecordNoAnswer takes note that a call got no answer: the connections that idle may be as silent as the one that it went by.
+func (s *Set) RecordNoAnswer() {
 	s.mu.Lock()
 	s.silent = time.Now()
 	clients := s.clients
@@ -82,9 +82,9 @@
 	}
 }
 
-// Answered takes note of an answer to a call that was made at a time. It proves the way, so calls that were waiting on other
+// RecordAnswer takes note of an answer to a call that was made at a time. It proves the way, so calls that were waiting on other
 // connections when it was last found silent are ended, and can be made again.
-func (s *Set) Answered(asked time.Time) {
+func (s *Set) RecordAnswer(asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent.IsZero() {
--- a/internal/connection/set_test.go
+++ b/internal/connection/set_test.go
@@ -83,10 +83,10 @@
 	request.SetTimeout(patience)
 	asked := time.Now()
 	if err := client.Do(request, response); err != nil {
-		s.Unanswered()
+		s.RecordNoAnswer()
 		return err
 	}
-	s.Answered(asked)
+	s.RecordAnswer(asked)
 	return nil
 }
 
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -3,22 +3,22 @@
 // Subscribe asks a lead to push its summaries; it is repeated to see whether the lead still is one.
 type Subscribe struct {
 	Entry string `json:"entry"`
-	// Seen is the latest summary that the entry has.
-	Seen Position `json:"seen"`
+	// Received is the latest summary that the entry has.
+	Received Position `json:"seen"`
 }
 
 // SubscribeAnswer carries the load of the cell, and its endpoints if the entry does not have them.
 type SubscribeAnswer struct {
 	Load    Load     `json:"load"`
 	Summary *Summary `json:"summary,omitempty"`
-	// Lapsed says that the lead's lease has lapsed, so that another may lead by now.
-	Lapsed bool `json:"lapsed,omitempty"`
+	// LeaseExpired says that the lead's lease has lapsed, so that another may lead by now.
+	LeaseExpired bool `json:"lapsed,omitempty"`
 }
 
 // Load is what entries need to choose the cell of a job.
 type Load struct {
-	// Room is how many processors are free of how many, in thousandths.
-	Room     int64 `json:"room"`
+	// Free is how many processors are free of how many, in thousandths.
+	Free     int64 `json:"room"`
 	Capacity int64 `json:"capacity"`
 	// Waiting is how many jobs and services wait for a worker.
 	Waiting int `json:"waiting"`
@@ -49,11 +49,11 @@
 
 // Submit asks to accept a job; the same identifier is accepted once.
 type Submit struct {
-	ID       string `json:"id"`
-	Workload string `json:"workload"`
-	Payload  string `json:"payload,omitempty"`
-	Tasks    int    `json:"tasks"`
-	Millis   int64  `json:"submitted_unix_ms"`
+	ID              string `json:"id"`
+	Workload        string `json:"workload"`
+	Payload         string `json:"payload,omitempty"`
+	Tasks           int    `json:"tasks"`
+	SubmittedMillis int64  `json:"submitted_unix_ms"`
 }
 
 // JobQuery asks for a job, or to cancel it.
@@ -63,16 +63,16 @@
 
 // Job is how far a job is.
 type Job struct {
-	ID        string `json:"id"`
-	Workload  string `json:"workload"`
-	State     string `json:"state"`
-	Tasks     int    `json:"tasks"`
-	Running   int    `json:"running"`
-	Finished  int    `json:"finished"`
-	Failed    int    `json:"failed"`
-	Evictions int    `json:"evictions"`
-	Waiting   string `json:"waiting_because,omitempty"`
-	Millis    int64  `json:"submitted_unix_ms"`
+	ID              string `json:"id"`
+	Workload        string `json:"workload"`
+	State           string `json:"state"`
+	Tasks           int    `json:"tasks"`
+	Running         int    `json:"running"`
+	Finished        int    `json:"finished"`
+	Failed          int    `json:"failed"`
+	Evictions       int    `json:"evictions"`
+	Waiting         string `json:"waiting_because,omitempty"`
+	SubmittedMillis int64  `json:"submitted_unix_ms"`
 }
 
 // StatusQuery asks for the state of a cell.
@@ -81,7 +81,7 @@
 // CellStatus is the state of a cell.
 type CellStatus struct {
 	Cell         string          `json:"cell"`
-	Lead         string          `json:"lead"`
+	Leader       string          `json:"lead"`
 	Epoch        uint64          `json:"epoch"`
 	StoreUp      bool            `json:"store_up"`
 	TableVersion uint64          `json:"table_version"`
@@ -94,16 +94,16 @@
 
 // WorkerStatus is the state of a worker.
 type WorkerStatus struct {
-	Instance     string  `json:"instance"`
-	Rack         int     `json:"rack"`
-	State        string  `json:"state"`
-	Tasks        int     `json:"tasks"`
-	Committed    string  `json:"committed"`
-	Share        float64 `json:"share"`
-	HeardMillis  int64   `json:"heard_ms_ago"`
-	Requests     string  `json:"requests"`
-	AgentBoot    string  `json:"boot"`
-	Accelerators int64   `json:"accelerators"`
+	Instance           string  `json:"instance"`
+	Rack               int     `json:"rack"`
+	State              string  `json:"state"`
+	Tasks              int     `json:"tasks"`
+	Committed          string  `json:"committed"`
+	Share              float64 `json:"share"`
+	HeartbeatAgeMillis int64   `json:"heard_ms_ago"`
+	Requests           string  `json:"requests"`
+	AgentBoot          string  `json:"boot"`
+	Accelerators       int64   `json:"accelerators"`
 }
 
 // ServiceStatus is the state of a service in a cell.
--- a/internal/control/beat.go
+++ b/internal/control/heartbeat.go
@@ -2,7 +2,7 @@
 
 // Methods that a lead serves.
 const (
-	MethodBeat      = "lead.beat"
+	MethodHeartbeat = "lead.beat"
 	MethodSubscribe = "lead.subscribe"
 	MethodSubmit    = "lead.submit"
 	MethodJob       = "lead.job"
@@ -32,20 +32,20 @@
 	return p.Epoch < o.Epoch || (p.Epoch == o.Epoch && p.Revision < o.Revision)
 }
 
-// Beat is the heartbeat of an agent; what did not change since the last answered beat is left out.
-type Beat struct {
+// Heartbeat is the heartbeat of an agent; what did not change since the last answered beat is left out.
+type Heartbeat struct {
 	Instance string `json:"i"`
 	Boot     string `json:"b"`
-	// Have is the latest position that the agent was told, Applied the latest that its worker was brought to.
-	Have     Position `json:"q"`
-	Applied  Position `json:"a"`
-	Stopping bool     `json:"s,omitempty"`
-	Pressed  bool     `json:"p,omitempty"`
-	Evict    bool     `json:"v,omitempty"`
+	// Received is the latest position that the agent was told, Applied the latest that its worker was brought to.
+	Received     Position `json:"q"`
+	Applied      Position `json:"a"`
+	Stopping     bool     `json:"s,omitempty"`
+	BatchBlocked bool     `json:"p,omitempty"`
+	Evict        bool     `json:"v,omitempty"`
 	// Profile is given with the first beat, and then Statuses are all there are; later ones are those that changed.
 	Profile  *Profile  `json:"f,omitempty"`
 	Statuses []Status  `json:"t,omitempty"`
-	Gone     []Run     `json:"g,omitempty"`
+	Removed  []Run     `json:"g,omitempty"`
 	Reports  []Report  `json:"o,omitempty"`
 	Usage    []Usage   `json:"u,omitempty"`
 	Latency  []Latency `json:"y,omitempty"`
@@ -64,10 +64,10 @@
 
 // Status is a run that has not ended on the agent's worker.
 type Status struct {
-	Run      Run    `json:"r"`
-	Workload string `json:"w"`
-	State    string `json:"s"`
-	Serves   bool   `json:"e,omitempty"`
+	Run       Run    `json:"r"`
+	Workload  string `json:"w"`
+	State     string `json:"s"`
+	IsReplica bool   `json:"e,omitempty"`
 }
 
 // Report is a run that has ended on the agent's worker.
@@ -89,9 +89,9 @@
 	Service string  `json:"s"`
 	Load    float64 `json:"l"`
 	Ratio   float64 `json:"r"`
-	// RunMicros is how long requests ran at the endpoint on average.
-	RunMicros int64 `json:"m"`
-	Samples   int64 `json:"n"`
+	// MeanRunMicros is how long requests ran at the endpoint on average.
+	MeanRunMicros int64 `json:"m"`
+	Samples       int64 `json:"n"`
 	// Neighbors are the batch workloads beside the service, throttled as they were.
 	Neighbors []Neighbor `json:"b,omitempty"`
 }
@@ -102,14 +102,14 @@
 	Share    float64 `json:"p"`
 }
 
-// BeatAnswer is the lead's answer; Desired is left out if the agent has it already.
-type BeatAnswer struct {
+// HeartbeatAnswer is the lead's answer; Desired is left out if the agent has it already.
+type HeartbeatAnswer struct {
 	Known   bool     `json:"k"`
 	Epoch   uint64   `json:"e,omitempty"`
 	Desired *Desired `json:"d,omitempty"`
 	Acked   []Run    `json:"a,omitempty"`
-	// Lapsed says that the lead's lease has lapsed, so that another may lead by now.
-	Lapsed bool `json:"x,omitempty"`
+	// LeaseExpired says that the lead's lease has lapsed, so that another may lead by now.
+	LeaseExpired bool `json:"x,omitempty"`
 }
 
 // Desired is what an agent is to run: all of it, or what changed since a position that the agent has.
@@ -120,11 +120,11 @@
 	// Leaving tells the agent that its VM is being taken away.
 	Leaving bool         `json:"l,omitempty"`
 	Runs    []DesiredRun `json:"r,omitempty"`
-	Gone    []Run        `json:"g,omitempty"`
+	Removed []Run        `json:"g,omitempty"`
 }
 
-// IsWhole reports whether the message is all that the agent is to run.
-func (d *Desired) IsWhole() bool { return d.Base == Position{} }
+// IsFull reports whether the message is all that the agent is to run.
+func (d *Desired) IsFull() bool { return d.Base == Position{} }
 
 // DesiredRun is a run with what the agent needs to know of its workload.
 type DesiredRun struct {
--- a/internal/control/request.go
+++ b/internal/control/request.go
@@ -2,12 +2,12 @@
 
 // Paths of the requests between entries and agents, and between entries.
 const (
-	PathRequest = "/request"
-	PathSettle  = "/settle"
-	PathSeal    = "/seal"
-	PathKeyed   = "/keyed"
-	PathPing    = "/ping"
-	PathHand    = "/hand"
+	PathRequest  = "/request"
+	PathOutcome  = "/settle"
+	PathSeal     = "/seal"
+	PathKeyed    = "/keyed"
+	PathPing     = "/ping"
+	PathHandover = "/hand"
 )
 
 // Headers of a request between the system's own processes and of its answer.
@@ -30,27 +30,27 @@
 	HeaderMoving     = "Sp-Moving"
 )
 
-// SettleAnswer says what an agent knows of a request whose answer was lost.
-type SettleAnswer struct {
+// OutcomeAnswer says what an agent knows of a request whose answer was lost.
+type OutcomeAnswer struct {
 	// Ran is "no" if the agent did not and will not run the request, "unknown" if it may have.
 	Ran string `json:"ran"`
 }
 
-// Hand gives the keys of slots to the next owner.
-type Hand struct {
-	Slots []HandSlot `json:"slots"`
+// Handover gives the keys of slots to the next owner.
+type Handover struct {
+	Slots []HandoverSlot `json:"slots"`
 }
 
-// HandSlot is the keys of one slot.
-type HandSlot struct {
-	Slot int       `json:"slot"`
-	Keys []HandKey `json:"keys"`
+// HandoverSlot is the keys of one slot.
+type HandoverSlot struct {
+	Slot int           `json:"slot"`
+	Keys []HandoverKey `json:"keys"`
 }
 
-// HandKey is a key that ran, with its answer if that is kept.
-type HandKey struct {
+// HandoverKey is a key that ran, with its answer if that is kept.
+type HandoverKey struct {
 	Key         string `json:"key"`
-	Kept        bool   `json:"kept"`
+	HasAnswer   bool   `json:"kept"`
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
@@ -66,7 +66,7 @@
 type SealAnswer struct {
 	Boot         string `json:"boot"`
 	UptimeMillis int64  `json:"uptime_ms"`
-	// Fresh says that no earlier start of the agent served on the VM, as far as its worker knows.
-	Fresh bool     `json:"fresh"`
-	Keys  []string `json:"keys"`
+	// NoEarlierStart says that no earlier start of the agent served on the VM, as far as its worker knows.
+	NoEarlierStart bool     `json:"fresh"`
+	Keys           []string `json:"keys"`
 }
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -32,13 +32,13 @@
 		Timing: agent.Timing{
 			Heartbeat: s.Heartbeat(), Reconcile: s.Reconcile(), TaskLease: s.TaskLease(), Drain: s.Drain(), Measure: s.Measure(),
 		},
-		Lead: leader.Timing{
-			Lease: s.Lease(), Heartbeat: s.Heartbeat(), CommitWindow: s.Window(), List: s.LeadList(), CommitRate: s.CommitRate(),
+		Leader: leader.Timing{
+			Lease: s.Lease(), Heartbeat: s.Heartbeat(), CommitWindow: s.CommitWindow(), List: s.LeaderList(), CommitRate: s.CommitRate(),
 		},
 		Store: p.store, VMs: p.vms, Worker: worker.NewHTTP(s.Worker()),
-		Logger: p.logger.Part("agent"), Clock: p.clock, Recorder: p.recorder,
+		Logger: p.logger.Named("agent"), Clock: p.clock, Recorder: p.recorder,
 	})
-	requestServer := admin.Serve(requests, p.limits(), a.Gate().Handle, admin.RefusePlainly)
+	requestServer := admin.Serve(requests, p.limits(), a.Gate().Handle, admin.RefuseAsText)
 	adminServer := p.serveAdmin(operators, a.Ready, nil)
 	p.logger.Info("agent: ready to start; requests=%s control=%s admin=%s", requests.Addr(), control.Addr(), operators.Addr())
 	err = a.Run(ctx)
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -69,6 +69,6 @@
 		case fallback == "":
 			fallback = "must be given"
 		}
-		fmt.Fprintf(out, "%s (%s)\n    %s Give %s. Environment: %s.\n", s.Key(), fallback, s.About(), s.Allowed(), s.Environment())
+		fmt.Fprintf(out, "%s (%s)\n    %s Give %s. Environment: %s.\n", s.Key(), fallback, s.Description(), s.Allowed(), s.Environment())
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer logger.Drain()
+	defer logger.Flush()
 	// The collector works harder rather than let the process outgrow its share of the VM.
 	debug.SetMemoryLimit(memoryLimit)
 	httpclient.BindSource(s.Source())
@@ -58,7 +58,7 @@
 		store:    store.NewHTTP(s.Store()), vms: vmlist.NewHTTP(s.VMs()),
 	}
 	p.metrics.RegisterProcess()
-	p.metrics.Gauge("control.bytes", rpc.BytesMoved)
+	p.metrics.Gauge("control.bytes", rpc.BytesTransferred)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	go endAtSecondSignal(ctx)
@@ -92,5 +92,5 @@
 			return
 		}
 		ctx.Error("there is no such path\n", fasthttp.StatusNotFound)
-	}, admin.RefusePlainly)
+	}, admin.RefuseAsText)
 }
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -128,6 +128,6 @@
 // addTickets adds the tickets of the step to a group if its queue is advised.
 func (t *term) addTickets(g *plan.Group, queue job.Queue) {
 	if queue.Advised && t.dispatcher.config.Advisor != nil {
-		g.Tickets = t.ticketsFor(stepID{g.Job.ID(), g.Time, g.StepIndex}, g.Service)
+		g.Tickets = t.ticketsFor(stepID{g.Job.ID(), g.Iteration, g.StepIndex}, g.Service)
 	}
 }
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -62,11 +62,11 @@
 	if len(b.versions) == 0 && len(b.removed) == 0 && !b.reacquire {
 		return nil, nil
 	}
-	chain, err := t.chainPut(t.commitCount + 1)
+	chain, err := t.lastCommitPut(t.commitCount + 1)
 	if err != nil {
 		return nil, err
 	}
-	b.txn.Conditions = append(b.txn.Conditions, kv.Condition{Key: record.LastCommitKey, Revision: t.chainRevision})
+	b.txn.Conditions = append(b.txn.Conditions, kv.Condition{Key: record.LastCommitKey, Revision: t.lastCommitRevision})
 	b.txn.Puts = append(b.txn.Puts, chain)
 	t.addModel(b)
 	b.collectRuns(t)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -138,6 +138,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		report.List = answer.List
+		report.EntriesVersion = answer.EntriesVersion
 	}
 }
--- a/internal/dispatch/campaign.go
+++ b/internal/dispatch/campaign.go
@@ -72,7 +72,7 @@
 	for ctx.Err() == nil {
 		changed := d.config.Leader.Changed()
 		leader, loaded := d.config.Leader.Value()
-		if loaded && (leader.Revision == 0 || leader.Held.Process == d.config.Node || d.mayReplace(leader.Held.Epoch)) && d.backoffElapsed() {
+		if loaded && (leader.Revision == 0 || leader.Decoded.Process == d.config.Process || d.mayReplace(leader.Decoded.Epoch)) && d.backoffElapsed() {
 			if d.awaitTurn(ctx, changed) {
 				return d.tryAcquire(ctx)
 			}
@@ -117,12 +117,12 @@
 			// The record was not written by an entry. No leader depends on it, and the commit condition fences any that might.
 			d.logger.Error("leader record is unreadable and will be replaced; reason=%v", err)
 		}
-		if err == nil && leader.Process != d.config.Node && !d.mayReplace(leader.Epoch) {
+		if err == nil && leader.Process != d.config.Process && !d.mayReplace(leader.Epoch) {
 			_, err := d.config.Leader.Refresh(ctx)
 			return nil, fault.New(fault.Conflict, "%s is the leader (%v)", leader.Process, err)
 		}
 	}
-	last, lastRevision, err := readChain(ctx, store)
+	last, lastRevision, err := readLastCommit(ctx, store)
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	t.chainRevision, t.verifiedAt = revision, askedAt
+	t.lastCommitRevision, t.verifiedAt = revision, askedAt
 	return nil
 }
 
@@ -161,7 +161,7 @@
 	if err != nil {
 		return kv.Txn{}, err
 	}
-	commit, err := t.chainPut(0)
+	commit, err := t.lastCommitPut(0)
 	if err != nil {
 		return kv.Txn{}, err
 	}
@@ -174,18 +174,18 @@
 // leaderPut returns the put of the leader record for this process under the term's lease.
 func (t *term) leaderPut() (kv.Put, error) {
 	config := t.dispatcher.config
-	value, err := record.Encode(record.Leader{Process: config.Node, Boot: config.Boot, Address: config.Address, Epoch: t.epoch})
+	value, err := record.Encode(record.Leader{Process: config.Process, Boot: config.Boot, Address: config.Address, Epoch: t.epoch})
 	return kv.Put{Key: record.LeaderKey, Value: value, Lease: t.lease}, err
 }
 
-// chainPut returns the put of the last commit record with a commit number.
-func (t *term) chainPut(commit uint64) (kv.Put, error) {
+// lastCommitPut returns the put of the last commit record with a commit number.
+func (t *term) lastCommitPut(commit uint64) (kv.Put, error) {
 	value, err := record.Encode(record.LastCommit{Epoch: t.epoch, Boot: t.dispatcher.config.Boot, Commit: commit})
 	return kv.Put{Key: record.LastCommitKey, Value: value}, err
 }
 
-// readChain returns the last commit of any leader and the revision at which it was written.
-func readChain(ctx context.Context, store kv.Store) (record.LastCommit, kv.Revision, error) {
+// readLastCommit returns the last commit of any leader and the revision at which it was written.
+func readLastCommit(ctx context.Context, store kv.Store) (record.LastCommit, kv.Revision, error) {
 	item, err := store.Get(ctx, record.LastCommitKey)
 	if err != nil {
 		return record.LastCommit{}, 0, err
@@ -197,7 +197,7 @@
 // committedRevision returns the revision of a commit of this term whose answer was lost or whose condition failed. It
 // returns a Stale error if another commit is the last, since then another entry leads. Commit 0 started the term.
 func (t *term) committedRevision(ctx context.Context, commit uint64) (kv.Revision, error) {
-	last, revision, err := readChain(ctx, t.store)
+	last, revision, err := readLastCommit(ctx, t.store)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/dispatch/campaign_test.go
+++ b/internal/dispatch/campaign_test.go
@@ -81,7 +81,7 @@
 		leases := make(map[kv.LeaseID]*time.Timer)
 		slow := &slowStore{Store: store, rangeDelay: 2 * time.Second, leases: leases}
 		runDispatchers(t, 20*time.Second, slow, slow)
-		last, _, err := readChain(t.Context(), store)
+		last, _, err := readLastCommit(t.Context(), store)
 		assert.NilError(t, err)
 		assert.Equal(t, last.Epoch, uint64(FencesPerEpoch))
 	})
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -23,8 +23,8 @@
 	assert.Assert(t, candidateDelay(0, 0.2, 0.1) < candidateDelay(0, 0.2, 0.9), "equal entries without a rank wait differently long")
 }
 
-// TestEntryThatIsAskedToSucceedCampaignsAtOnce checks that its rank does not matter, since the leader has already yielded.
-func TestEntryThatIsAskedToSucceedCampaignsAtOnce(t *testing.T) {
+// TestEntryThatIsAskedToTakeOverCampaignsAtOnce checks that its rank does not matter, since the leader has already yielded.
+func TestEntryThatIsAskedToTakeOverCampaignsAtOnce(t *testing.T) {
 	d := newTestEntry("e", kvtest.New())
 	d.SetRank(17)
 	assert.Equal(t, d.currentRank(), 17)
--- a/internal/dispatch/closures_test.go
+++ b/internal/dispatch/closures_test.go
@@ -176,7 +176,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
 		c.close("north")
-		c.store.Revoke()
+		c.store.RemoveLeasedKeys()
 		next, err := newTestEntry("next", c.store).tryAcquire(context.Background())
 		assert.NilError(t, err)
 		assert.NilError(t, next.load(context.Background()))
--- a/internal/dispatch/clustermodel_property_test.go
+++ b/internal/dispatch/clustermodel_property_test.go
@@ -15,13 +15,13 @@
 )
 
 // drawTrouble lets a commit fail in a random way, at most three times in a row.
-func (m *clusterModel) drawTrouble() kvtest.Trouble {
+func (m *clusterModel) drawTrouble() kvtest.Failure {
 	if m.consecutiveTroubles > 2 || rapid.IntRange(0, 3).Draw(m.t, "trouble") > 0 {
 		m.consecutiveTroubles = 0
 		return kvtest.None
 	}
 	m.consecutiveTroubles++
-	return rapid.SampledFrom([]kvtest.Trouble{kvtest.Refused, kvtest.Lost, kvtest.Late, kvtest.Unsent}).Draw(m.t, "how")
+	return rapid.SampledFrom([]kvtest.Failure{kvtest.Refused, kvtest.AnswerLost, kvtest.Late, kvtest.RequestLost}).Draw(m.t, "how")
 }
 
 func (m *clusterModel) performAction() {
@@ -44,7 +44,7 @@
 	case 12:
 		m.finishRandomRun(a)
 	case 13:
-		m.store.Catch()
+		m.store.ApplyLate()
 		time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(m.t, "ms")) * time.Millisecond)
 	case 14:
 		switch rapid.IntRange(0, 5).Draw(m.t, "kind of restart") {
@@ -67,8 +67,8 @@
 	for _, hall := range sortedKeys(m.closedSince) {
 		m.toggleHall(hall)
 	}
-	m.store.SetTrouble(nil)
-	m.store.Catch()
+	m.store.SetFailure(nil)
+	m.store.ApplyLate()
 	for _, id := range slices.Sorted(maps.Keys(m.specs)) {
 		if m.hasLastingStep(id) {
 			m.cancelJob(id)
@@ -119,7 +119,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		inFakeTime(t, func() {
 			m := newClusterModel(rt)
-			m.store.SetTrouble(m.drawTrouble)
+			m.store.SetFailure(m.drawTrouble)
 			for range rapid.IntRange(20, 120).Draw(rt, "acts") {
 				m.performAction()
 			}
--- a/internal/dispatch/clustermodel_test.go
+++ b/internal/dispatch/clustermodel_test.go
@@ -58,7 +58,7 @@
 
 // electLeader revokes the lease of the leader, which no request reports to it, and lets another process take over.
 func (m *clusterModel) electLeader() {
-	m.store.Revoke()
+	m.store.RemoveLeasedKeys()
 	name := fmt.Sprintf("entry%d", len(m.terms))
 	t, err := newTestEntry(name, m.store).tryAcquire(m.ctx)
 	if err != nil || t.load(m.ctx) != nil {
@@ -131,7 +131,7 @@
 	if closed {
 		txn = kv.Txn{Removes: []string{testClosures + hall}}
 	}
-	if err := m.store.Operate(txn); err != nil {
+	if err := m.store.CommitAsOperator(txn); err != nil {
 		m.t.Fatal(err)
 	}
 	if closed {
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -148,7 +148,7 @@
 	t.dispatcher.config.Metrics.Counter("lead.worker_crashes").Inc(1)
 	runs := make([]crash.Run, 0, len(suspects))
 	for _, s := range suspects {
-		runs = append(runs, crash.NewRun(s.answered, s.age, s.tracked.job.Suspicion(s.id)))
+		runs = append(runs, crash.NewRun(s.answered, s.age, s.tracked.job.CrashHistory(s.id)))
 	}
 	simultaneous, cleared := t.simultaneousCrashes(a) >= minSimultaneous, 0
 	for i, finding := range crash.Attribute(runs, simultaneous) {
@@ -159,7 +159,7 @@
 		if !s.tracked.job.RecordCrash(s.id, s.run, finding) {
 			continue
 		}
-		history := s.tracked.job.Suspicion(s.id)
+		history := s.tracked.job.CrashHistory(s.id)
 		t.logger.Info("worker crashed while running a task; task=%s run=%d vm=%s instance=%s cause=%s alone=%t age_ms=%d crashes=%d doubts=%d",
 			s.id, s.run, a.vm, id, finding.Attribution(), finding.Sole(), s.age.Milliseconds(), history.LikelyCrashes(), history.PossibleCrashes())
 		t.suspicionChanged(s.tracked, fmt.Sprintf("one of its tasks crashes its workers; task=%s crashes=%d doubts=%d", s.id, history.LikelyCrashes(), history.PossibleCrashes()))
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -39,8 +39,8 @@
 		assert.NilError(t, err)
 		assert.Equal(t, answer.AcknowledgedCrashes, uint64(7))
 		task := job.TaskID{Job: testJob}
-		assert.Equal(t, leader.jobs[testJob].job.Suspicion(task).LikelyCrashes(), 1)
-		store.Revoke()
+		assert.Equal(t, leader.jobs[testJob].job.CrashHistory(task).LikelyCrashes(), 1)
+		store.RemoveLeasedKeys()
 		next, err := newTestEntry("f", store).tryAcquire(t.Context())
 		assert.NilError(t, err)
 		assert.NilError(t, next.load(t.Context()))
@@ -48,7 +48,7 @@
 		repeated.Epoch = next.epoch
 		_, err = next.report(fakeSession{a}, repeated)
 		assert.NilError(t, err)
-		assert.Equal(t, next.jobs[testJob].job.Suspicion(task).LikelyCrashes(), 1, "it is loaded from the store and not counted again")
+		assert.Equal(t, next.jobs[testJob].job.CrashHistory(task).LikelyCrashes(), 1, "it is loaded from the store and not counted again")
 		runCycle(t, next)
 	})
 }
@@ -97,8 +97,8 @@
 		affected := make(map[*trackedJob]bool)
 		leader.recordCrashes(&agent{vm: "a"}, link.Report{Crashes: []link.Crash{crashOf(link.NewRun(first, 2))}}, affected)
 		leader.recordCrashes(&agent{vm: "b"}, link.Report{Crashes: []link.Crash{crashOf(link.NewRun(first, 1), link.NewRun(second, 1))}}, affected)
-		assert.Equal(t, tracked.job.Suspicion(first).Score(), 1)
-		assert.Equal(t, tracked.job.Suspicion(second).Score(), 1)
+		assert.Equal(t, tracked.job.CrashHistory(first).Score(), 1)
+		assert.Equal(t, tracked.job.CrashHistory(second).Score(), 1)
 	})
 }
 
@@ -111,7 +111,7 @@
 			leader := termWithPlacedTask(t, kvtest.New(), a)
 			for n := range others + 1 {
 				silent := testReport("i1")
-				silent.VM, silent.Silent, silent.FirstFailureMillis = fmt.Sprint(n), true, 1000
+				silent.VM, silent.Unreachable, silent.FirstFailureMillis = fmt.Sprint(n), true, 1000
 				if n == others {
 					silent.FirstFailureMillis = 1000 + 2*simultaneousWindow.Milliseconds()
 				}
@@ -122,7 +122,7 @@
 			r.Crashes[0].FirstFailureMillis = 1000
 			_, err := leader.report(fakeSession{a}, r)
 			assert.NilError(t, err)
-			history := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob})
+			history := leader.jobs[testJob].job.CrashHistory(job.TaskID{Job: testJob})
 			assert.Equal(t, history.LikelyCrashes(), crashes)
 			assert.Equal(t, history.PossibleCrashes(), 1-crashes)
 			runCycle(t, leader)
--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -50,8 +50,8 @@
 	// maxStarts is how often a task that crashes its workers may start: the platform counts the third start after the third crash
 	// as a violation.
 	maxStarts = 5
-	// maxStartsUnseen is maxStarts for a task whose crashes cannot be observed: the VMs were lost, as by a network partition.
-	maxStartsUnseen = 8
+	// maxStartsUnreported is maxStarts for a task whose crashes cannot be observed: the VMs were lost, as by a network partition.
+	maxStartsUnreported = 8
 	// minKnownCrashes is how many crashes of its workers must be reported before the job of a task may be given up.
 	minKnownCrashes = 2
 )
@@ -164,13 +164,13 @@
 func (s *crashSequence) stateKey() string {
 	id, _ := s.task.TaskID()
 	j := s.leader.jobs[id.Job].job
-	return fmt.Sprint(s.startCount, j.Task(id).Run(), j.Suspicion(id), j.State(), len(s.leader.unreachable), len(s.lateWorkers), s.knownCrashes(), s.leader.suspicionSummary())
+	return fmt.Sprint(s.startCount, j.Task(id).Run(), j.CrashHistory(id), j.State(), len(s.leader.unreachable), len(s.lateWorkers), s.knownCrashes(), s.leader.suspicionSummary())
 }
 
 // suspicionSummary returns the crash histories of the first tasks of all jobs, sorted.
 func (t *term) suspicionSummary() (summaries []string) {
 	for name, tracked := range t.jobs {
-		summaries = append(summaries, fmt.Sprint(name, tracked.job.Suspicion(job.TaskID{Job: name})))
+		summaries = append(summaries, fmt.Sprint(name, tracked.job.CrashHistory(job.TaskID{Job: name})))
 	}
 	slices.Sort(summaries)
 	return summaries
@@ -187,7 +187,7 @@
 // allowedStarts returns how often the task may start after the outcomes so far.
 func (s *crashSequence) allowedStarts() int {
 	if s.knownCrashes() < minKnownCrashes {
-		return maxStartsUnseen
+		return maxStartsUnreported
 	}
 	return maxStarts
 }
--- a/internal/dispatch/cycle.go
+++ b/internal/dispatch/cycle.go
@@ -103,7 +103,7 @@
 func (t *term) applyCommit(b *batch, revision kv.Revision, askedAt boottime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.chainRevision, t.verifiedAt = revision, askedAt
+	t.lastCommitRevision, t.verifiedAt = revision, askedAt
 	t.commitCount++
 	if b.reacquire {
 		t.leaseReplaced = false
@@ -143,7 +143,7 @@
 // verifyLeadership confirms by a read of the last commit that no other entry leads, unless a recent commit showed it.
 func (t *term) verifyLeadership(ctx context.Context) error {
 	t.mu.Lock()
-	revision, age := t.chainRevision, t.verificationAge()
+	revision, age := t.lastCommitRevision, t.verificationAge()
 	t.mu.Unlock()
 	if age < verifyInterval {
 		return nil
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -31,7 +31,7 @@
 
 // Config holds the identity and the dependencies of a dispatcher.
 type Config struct {
-	Node    string
+	Process string
 	Boot    string
 	Address string
 	// Strength is the processor share of the VM in cores; the entry with the largest share campaigns first.
@@ -149,7 +149,7 @@
 		answer.StoreDown = true
 	case storeReachableByOthers:
 		answer.TakeOver = true
-		t.yield(p.Entry, "the store answers other entries and not this leader")
+		t.stepDown(p.Entry, "the store answers other entries and not this leader")
 	case storeReachable:
 		switch {
 		case !t.outranks(p):
@@ -157,7 +157,7 @@
 			answer.Probe = true
 		default:
 			answer.TakeOver = true
-			t.yield(p.Entry, "it has a much larger processor share")
+			t.stepDown(p.Entry, "it has a much larger processor share")
 		}
 	}
 	if newest := d.config.Policies.Offer(); newest.Revision != p.Revision {
@@ -169,7 +169,7 @@
 	return answer, nil
 }
 
-func (d *Dispatcher) waiting(_ context.Context, _ *rpc.Peer, w link.Waiting) (link.WaitingAnswer, error) {
+func (d *Dispatcher) waiting(_ context.Context, _ *rpc.Peer, w link.WaitingRequest) (link.WaitingAnswer, error) {
 	t, err := d.currentTerm()
 	if err != nil {
 		return link.WaitingAnswer{}, err
--- a/internal/dispatch/entries.go
+++ b/internal/dispatch/entries.go
@@ -132,7 +132,7 @@
 	defer t.mu.Unlock()
 	e := t.roster.record(p.Address, p.Strength, peer, time.Now())
 	answer := link.PingAnswer{Agents: len(t.agents), Unverified: t.verificationAge() > staleVerificationAfter}
-	answer.Entries, answer.List = t.entriesFor(p.Entry, p.List)
+	answer.Entries, answer.EntriesVersion = t.entriesFor(p.Entry, p.EntriesVersion)
 	answer.Rank = e.rank
 	return answer
 }
--- a/internal/dispatch/fences_test.go
+++ b/internal/dispatch/fences_test.go
@@ -81,7 +81,7 @@
 	}
 	leader.fenceGrants = FencesPerEpoch / fencesPerConnection
 	assert.Equal(t, leader.grantFences(), fenceRange{first: leader.epoch, last: leader.epoch})
-	store.Revoke()
+	store.RemoveLeasedKeys()
 	next := testTerm(t, store)
 	assert.Assert(t, next.grantFences().first > leader.epoch)
 }
@@ -115,7 +115,7 @@
 				}
 			}
 			assert.Equal(t, p.running(), 0)
-			time.Sleep(lastingTaskRecoveryLimit)
+			time.Sleep(longRunningTaskRecoveryLimit)
 			running := p.running()
 			cancel()
 			p.depose()
@@ -125,5 +125,5 @@
 	}
 }
 
-// lastingTaskRecoveryLimit is the time within which the users' rules require a long-running task to run again.
-const lastingTaskRecoveryLimit = 6 * time.Second
+// longRunningTaskRecoveryLimit is the time within which the users' rules require a long-running task to run again.
+const longRunningTaskRecoveryLimit = 6 * time.Second
--- a/internal/dispatch/groups.go
+++ b/internal/dispatch/groups.go
@@ -50,10 +50,10 @@
 		objective := tracked.job.Objective()
 		others, suspects, score := tracked.splitSuspects(job.TaskID{Job: tracked.job.ID(), Iteration: iteration, Step: step}, waiting, now)
 		group := &plan.Group{
-			Job: tracked.job, Time: iteration, StepIndex: step, Step: &tracked.job.Spec().Steps[step], Service: queue.Service,
+			Job: tracked.job, Iteration: iteration, StepIndex: step, Step: &tracked.job.Spec().Steps[step], Service: queue.Service,
 			Indexes: others, TasksByWorker: byWorker, Avoid: tracked.failedHosts, Priority: queue.Priority,
-			Starved: !tracked.idleSince.IsZero() && now.Sub(tracked.idleSince) > starvationDelay,
-			Slack:   objective - expected, CutoffSlack: lateFactor*objective - expected, Work: tracked.job.RemainingWork(iteration),
+			NoneRunning: !tracked.idleSince.IsZero() && now.Sub(tracked.idleSince) > starvationDelay,
+			Slack:       objective - expected, CutoffSlack: lateFactor*objective - expected, Work: tracked.job.RemainingWork(iteration),
 		}
 		t.addTickets(group, queue)
 		if len(suspects) > 0 {
--- a/internal/dispatch/hostset_test.go
+++ b/internal/dispatch/hostset_test.go
@@ -63,7 +63,7 @@
 		report := link.Report{VM: "vm-07", Epoch: 1, Instance: "vm-07", Service: testService, CPU: 32000, Memory: 128000, Fenced: true}
 		answer, err := leader.report(fakeSession{&fakeAgent{vm: report.VM}}, report)
 		assert.NilError(t, err)
-		report.List = answer.List
+		report.EntriesVersion = answer.EntriesVersion
 		return testing.AllocsPerRun(20, func() {
 			if _, err := leader.report(fakeSession{&fakeAgent{vm: report.VM}}, report); err != nil {
 				t.Error(err)
--- a/internal/dispatch/incarnations_test.go
+++ b/internal/dispatch/incarnations_test.go
@@ -15,8 +15,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// reportWithBirth returns a report of the incarnation of a worker with a start time.
-func reportWithBirth(startMillis int64) link.Report {
+// reportWithStartTime returns a report of the incarnation of a worker with a start time.
+func reportWithStartTime(startMillis int64) link.Report {
 	r := testReport("i1")
 	r.StartMillis = startMillis
 	return r
@@ -36,11 +36,11 @@
 	return r
 }
 
-// termWithBirth returns a leader with a task that is ordered to the incarnation with start time 1.
-func termWithBirth(t *testing.T, store *kvtest.Store, a *fakeAgent) *term {
+// termWithStartTime returns a leader with a task that is ordered to the incarnation with start time 1.
+func termWithStartTime(t *testing.T, store *kvtest.Store, a *fakeAgent) *term {
 	t.Helper()
 	leader := testTerm(t, store)
-	reportAndRun(t, leader, a, reportWithBirth(1))
+	reportAndRun(t, leader, a, reportWithStartTime(1))
 	return leader
 }
 
@@ -70,24 +70,24 @@
 // TestRunsOfEndedIncarnationArePlacedAgain checks that runs that were reported as running on an ended incarnation are placed again at once.
 func TestRunsOfEndedIncarnationArePlacedAgain(t *testing.T) {
 	for name, next := range map[string]link.Report{
-		"crash reported":                        withCrash(reportWithBirth(2), true),
-		"crash reported before the next one":    withCrash(reportWithBirth(1), true),
-		"no crash reported":                     reportWithBirth(2),
-		"no crash reported, earlier start time": reportWithBirth(-1),
+		"crash reported":                        withCrash(reportWithStartTime(2), true),
+		"crash reported before the next one":    withCrash(reportWithStartTime(1), true),
+		"no crash reported":                     reportWithStartTime(2),
+		"no crash reported, earlier start time": reportWithStartTime(-1),
 		"no crash reported, and under a new id": testReport("i2"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := &fakeAgent{vm: "vm"}
-				leader := termWithBirth(t, kvtest.New(), a)
-				reportAndRun(t, leader, a, withFirstRun(reportWithBirth(1)))
+				leader := termWithStartTime(t, kvtest.New(), a)
+				reportAndRun(t, leader, a, withFirstRun(reportWithStartTime(1)))
 				if next.StartMillis == 1 {
-					next.Silent = true
+					next.Unreachable = true
 				}
 				reportAndRun(t, leader, a, next)
 				if next.StartMillis == 1 {
 					assert.Equal(t, testTask(leader).Phase(), job.Waiting)
-					reportAndRun(t, leader, a, reportWithBirth(2))
+					reportAndRun(t, leader, a, reportWithStartTime(2))
 				}
 				assert.Equal(t, testTask(leader).Run(), 2)
 				assert.Equal(t, testTask(leader).Host(), job.Host{VM: "vm", Incarnation: a.pendingOrders[0].Incarnation()})
@@ -100,18 +100,18 @@
 // run that replaces it.
 func TestLateStartIsStoppedBeforeTaskIsPlacedAgain(t *testing.T) {
 	for name, next := range map[string]link.Report{
-		"crash reported":    withCrash(reportWithBirth(2), false),
-		"no crash reported": reportWithBirth(2),
+		"crash reported":    withCrash(reportWithStartTime(2), false),
+		"no crash reported": reportWithStartTime(2),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := &fakeAgent{vm: "vm"}
-				leader := termWithBirth(t, kvtest.New(), a)
+				leader := termWithStartTime(t, kvtest.New(), a)
 				starts, stops := reportAndRun(t, leader, a, next)
 				first := link.NewRun(job.TaskID{Job: testJob}, 1)
 				assert.Equal(t, len(starts), 0)
 				assert.DeepEqual(t, stops, []link.Run{first})
-				refused := reportWithBirth(2)
+				refused := reportWithStartTime(2)
 				refused.Rejected = []link.Rejected{{Run: first, Refusal: int(host.RefusedOld)}}
 				starts, _ = reportAndRun(t, leader, a, refused)
 				assert.Equal(t, len(starts), 1)
@@ -127,9 +127,9 @@
 func TestLateStartIsKeptUntilNextIncarnationReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		leader := termWithBirth(t, kvtest.New(), a)
-		ended := withCrash(reportWithBirth(1), false)
-		ended.Silent = true
+		leader := termWithStartTime(t, kvtest.New(), a)
+		ended := withCrash(reportWithStartTime(1), false)
+		ended.Unreachable = true
 		for range 3 {
 			starts, _ := reportAndRun(t, leader, a, ended)
 			assert.Equal(t, len(starts), 0)
@@ -137,7 +137,7 @@
 		}
 		starts, _ := reportAndRun(t, leader, a, testReport("i2"))
 		assert.Equal(t, len(starts), 1)
-		losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
+		losses := leader.jobs[testJob].job.CrashHistory(job.TaskID{Job: testJob}).Losses()
 		assert.Equal(t, losses.Total(), 1, "the loss counts once")
 		assert.Equal(t, leader.dispatcher.config.Metrics.Counter("lead.untold_crashes").Count(), int64(0), "the crash was reported")
 	})
@@ -148,14 +148,14 @@
 func TestLateStartIsStoppedUnderReusedID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		leader := termWithBirth(t, kvtest.New(), a)
+		leader := termWithStartTime(t, kvtest.New(), a)
 		reportAndRun(t, leader, a, testReport("i2"))
 		assert.Equal(t, testTask(leader).Run(), 2)
-		_, stops := reportAndRun(t, leader, a, reportWithBirth(3))
+		_, stops := reportAndRun(t, leader, a, reportWithStartTime(3))
 		assert.DeepEqual(t, stops[0], link.NewRun(job.TaskID{Job: testJob}, 1))
 		time.Sleep(host.MaxCallDelay + time.Second)
 		assert.NilError(t, leader.closures.Load(t.Context()))
-		_, stops = reportAndRun(t, leader, a, reportWithBirth(4))
+		_, stops = reportAndRun(t, leader, a, reportWithStartTime(4))
 		assert.Assert(t, !slices.Contains(stops, link.NewRun(job.TaskID{Job: testJob}, 1)))
 	})
 }
@@ -165,31 +165,31 @@
 func TestNextLeaderStopsUnseenStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
-		leader := termWithBirth(t, store, a)
-		reportAndRun(t, leader, a, withFirstRun(reportWithBirth(1)))
-		store.Revoke()
+		leader := termWithStartTime(t, store, a)
+		reportAndRun(t, leader, a, withFirstRun(reportWithStartTime(1)))
+		store.RemoveLeasedKeys()
 		next, err := newTestEntry("f", store).tryAcquire(t.Context())
 		assert.NilError(t, err)
 		assert.NilError(t, next.load(t.Context()))
 		assert.Equal(t, testTask(next).Host(), job.Host{VM: "vm", Incarnation: incarnation.New("i1", 1)})
-		starts, stops := reportAndRun(t, next, a, reportWithBirth(2))
+		starts, stops := reportAndRun(t, next, a, reportWithStartTime(2))
 		assert.Equal(t, len(starts), 0)
 		assert.Equal(t, len(stops), 1)
 		assert.Equal(t, testTask(next).Host(), job.Host{VM: "vm", Incarnation: incarnation.New("i1", 2)})
 	})
 }
 
-// TestMissingBirthKeepsRuns checks that runs stay placed when start times begin or cease to be reported during a rollout: the incarnation is
+// TestMissingStartTimeKeepsRuns checks that runs stay placed when start times begin or cease to be reported during a rollout: the incarnation is
 // the same.
-func TestMissingBirthKeepsRuns(t *testing.T) {
+func TestMissingStartTimeKeepsRuns(t *testing.T) {
 	for name, startTimes := range map[string][2]int64{"agent rolled out": {0, 1}, "agent rolled back": {1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := &fakeAgent{vm: "vm"}
 				leader := testTerm(t, kvtest.New())
-				reportAndRun(t, leader, a, reportWithBirth(startTimes[0]))
-				reportAndRun(t, leader, a, withFirstRun(reportWithBirth(startTimes[0])))
-				starts, stops := reportAndRun(t, leader, a, withFirstRun(reportWithBirth(startTimes[1])))
+				reportAndRun(t, leader, a, reportWithStartTime(startTimes[0]))
+				reportAndRun(t, leader, a, withFirstRun(reportWithStartTime(startTimes[0])))
+				starts, stops := reportAndRun(t, leader, a, withFirstRun(reportWithStartTime(startTimes[1])))
 				assert.Equal(t, len(starts)+len(stops), 0)
 				assert.Equal(t, testTask(leader).Run(), 1)
 				assert.Equal(t, testTask(leader).Host(), job.Host{VM: "vm", Incarnation: incarnation.New("i1", startTimes[1])})
@@ -204,13 +204,13 @@
 func TestEndsAreAcknowledgedPerIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		leader := termWithBirth(t, kvtest.New(), a)
-		first := reportWithBirth(1)
+		leader := termWithStartTime(t, kvtest.New(), a)
+		first := reportWithStartTime(1)
 		first.Ended = []link.Ended{{Run: link.Run{Task: "00000000000000bb.0.0.0", Number: 1}, Sequence: 57}}
 		answer, err := leader.report(fakeSession{a}, first)
 		assert.NilError(t, err)
 		assert.Equal(t, answer.AcknowledgedEnds, uint64(57))
-		answer, err = leader.report(fakeSession{a}, reportWithBirth(2))
+		answer, err = leader.report(fakeSession{a}, reportWithStartTime(2))
 		assert.NilError(t, err)
 		assert.Equal(t, answer.AcknowledgedEnds, uint64(0))
 		runCycle(t, leader)
@@ -221,7 +221,7 @@
 func TestTicketIsValidForOneIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeAgent{vm: "vm"}
-		leader := termWithBirth(t, kvtest.New(), a)
+		leader := termWithStartTime(t, kvtest.New(), a)
 		leader.dispatcher.config.Advisor = &fakeAdvisor{allowed: "i1"}
 		step := stepID{job: testJob}
 		leader.fetchAdvice(step, leader.openIncarnations(testService))
@@ -238,14 +238,14 @@
 	for startMillis, lost := range map[int64]int{1: 0, 2: 1} {
 		synctest.Test(t, func(t *testing.T) {
 			a := &fakeAgent{vm: "vm"}
-			leader := termWithBirth(t, kvtest.New(), a)
-			reportAndRun(t, leader, a, withFirstRun(reportWithBirth(1)))
+			leader := termWithStartTime(t, kvtest.New(), a)
+			reportAndRun(t, leader, a, withFirstRun(reportWithStartTime(1)))
 			time.Sleep(agentLease + 2*agentLeaseMargin)
 			assert.NilError(t, leader.closures.Load(t.Context()))
 			runCycle(t, leader)
 			assert.Equal(t, len(leader.unreachable), 1)
-			reportAndRun(t, leader, a, reportWithBirth(startMillis))
-			losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
+			reportAndRun(t, leader, a, reportWithStartTime(startMillis))
+			losses := leader.jobs[testJob].job.CrashHistory(job.TaskID{Job: testJob}).Losses()
 			assert.Equal(t, losses.Crashed(), lost)
 		})
 	}
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -12,7 +12,7 @@
 
 // inputTiming is the timing of the leader's follower of accepted jobs: jobs that wait in an outage of the store are loaded
 // a tenth of a second after its end.
-var inputTiming = follow.Timing{Wait: 1500 * time.Millisecond, Retry: 100 * time.Millisecond}
+var inputTiming = follow.Timing{Wait: 1500 * time.Millisecond, MaxRetryDelay: 100 * time.Millisecond}
 
 // watchInputs follows the jobs and cancellations that entries write.
 func (t *term) watchInputs(ctx context.Context) error {
@@ -20,14 +20,14 @@
 	return ctx.Err()
 }
 
-func (t *term) inputsFollower() *follow.Prefix {
-	return follow.NewPrefix(t.store, record.InputPrefix, inputTiming, t.applyInputs, t.logger)
+func (t *term) inputsFollower() *follow.PrefixFollower {
+	return follow.NewPrefixFollower(t.store, record.InputPrefix, inputTiming, t.applyInputs, t.logger)
 }
 
 func (t *term) applyInputs(c follow.Change) error {
 	var items []kv.Item
 	for _, e := range c.Events {
-		if !e.Gone() {
+		if !e.Removed() {
 			items = append(items, e.Item())
 		}
 	}
--- a/internal/dispatch/latestart_test.go
+++ b/internal/dispatch/latestart_test.go
@@ -91,10 +91,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
 		termWithPlacedTask(t, store, a)
-		store.Revoke()
+		store.RemoveLeasedKeys()
 		next := testTerm(t, store)
 		cancelJob(t, store, next)
-		next.dispatcher.config.Node = "f"
+		next.dispatcher.config.Process = "f"
 		r := runningReport()
 		r.Epoch = next.epoch
 		stops := stopsAfterReport(t, next, a, r)
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -24,9 +24,9 @@
 	// capacity is the CPU of the workers, serving the reservations of serving tasks, requested and used the requests and the
 	// use of best-effort tasks, all in thousandths of a core.
 	capacity, serving, requested, used int
-	// filling counts the best-effort tasks, throttled those below full pace, served the serving tasks, overTarget those above
+	// bestEffort counts the best-effort tasks, throttled those below full pace, served the serving tasks, overTarget those above
 	// their latency target.
-	filling, throttled, served, overTarget int
+	bestEffort, throttled, served, overTarget int
 }
 
 // currentLoad returns the load without the waiting tasks.
@@ -49,7 +49,7 @@
 	t.logger.Info("load; workers=%d waiting_short=%d waiting_lasting=%d waiting_batch=%d of_jobs=%d cores=%d serving=%d "+
 		"filling_tasks=%d slowed=%d asked=%d used=%d served=%d over=%d starved=%.1f",
 		t.hosts.len(), l.waitingShort, l.waitingLongRunning, l.waitingBatch, l.batchJobs, l.capacity/millisPerCore, l.serving/millisPerCore,
-		l.filling, l.throttled, l.requested/millisPerCore, l.used/millisPerCore, l.served, l.overTarget, t.backlog.level)
+		l.bestEffort, l.throttled, l.requested/millisPerCore, l.used/millisPerCore, l.served, l.overTarget, t.backlog.level)
 }
 
 // addWaiting counts the waiting tasks, and the jobs of the best-effort ones.
@@ -76,7 +76,7 @@
 	for _, p := range h.runs {
 		switch {
 		case p.step.BestEffort:
-			l.filling++
+			l.bestEffort++
 			l.requested += p.step.Size.CPU
 			l.used += p.measurement
 			if p.pace < pacing.Full {
--- a/internal/dispatch/losses.go
+++ b/internal/dispatch/losses.go
@@ -96,7 +96,7 @@
 
 // lossesChanged handles a change of the losses of a task, for which its job may be given up.
 func (t *term) lossesChanged(tracked *trackedJob, id job.TaskID) {
-	losses := tracked.job.Suspicion(id).Losses()
+	losses := tracked.job.CrashHistory(id).Losses()
 	t.suspicionChanged(tracked, fmt.Sprintf("one of its tasks was lost with its workers too often; task=%s lost=%d crashed=%d alike=%d blind=%d",
 		id, losses.Total(), losses.Crashed(), losses.Similar(), losses.UnknownLifetime()))
 }
--- a/internal/dispatch/losses_test.go
+++ b/internal/dispatch/losses_test.go
@@ -25,7 +25,7 @@
 	runCycle(t, leader)
 	_, err = leader.report(fakeSession{a}, after)
 	assert.NilError(t, err)
-	losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
+	losses := leader.jobs[testJob].job.CrashHistory(job.TaskID{Job: testJob}).Losses()
 	runCycle(t, leader)
 	return losses.Total(), losses.Crashed()
 }
@@ -42,7 +42,7 @@
 	planned := testReport("i2")
 	planned.Crashes = []link.Crash{{Number: 1, Instance: "i1", Planned: true}}
 	silent := testReport("i1")
-	silent.Silent = true
+	silent.Unreachable = true
 	for name, c := range map[string]struct {
 		before         link.Report
 		silence        time.Duration
@@ -93,12 +93,12 @@
 		a := &fakeAgent{vm: "vm"}
 		leader := termWithPlacedTask(t, kvtest.New(), a)
 		crashed := crashReport(1, 1)
-		crashed.Instance, crashed.Silent, crashed.Lapsed = "i1", true, true
+		crashed.Instance, crashed.Unreachable, crashed.LeaseExpired = "i1", true, true
 		crashed.Crashes[0].Runs[0].AgeMillis = 700
 		for _, r := range []link.Report{runningReport(), crashed, testReport("i2")} {
 			_, err := leader.report(fakeSession{a}, r)
 			assert.NilError(t, err)
-			losses := leader.jobs[testJob].job.Suspicion(job.TaskID{Job: testJob}).Losses()
+			losses := leader.jobs[testJob].job.CrashHistory(job.TaskID{Job: testJob}).Losses()
 			assert.Equal(t, losses.UnknownLifetime(), 0)
 			if r.Instance == "i2" {
 				assert.Equal(t, losses.Similar(), 1)
--- a/internal/dispatch/main_test.go
+++ b/internal/dispatch/main_test.go
@@ -9,6 +9,6 @@
 
 func TestMain(m *testing.M) {
 	proptest.FixSeed()
-	proptest.Checks("500")
+	proptest.SetChecks("500")
 	os.Exit(m.Run())
 }
--- a/internal/dispatch/modelworker_test.go
+++ b/internal/dispatch/modelworker_test.go
@@ -15,10 +15,10 @@
 // modelWorker is a worker that follows the users' rules, with capacity for one task. Only one goroutine of the synctest bubble uses it at any
 // moment of fake time.
 type modelWorker struct {
-	replay    *simulation
-	mu        chan struct{}
-	id        incarnation.ID
-	startedAt time.Time
+	simulation *simulation
+	mu         chan struct{}
+	id         incarnation.ID
+	startedAt  time.Time
 	// startClock is the reading of the worker's monotonic clock at its start.
 	startClock     time.Duration
 	downUntil      time.Time
@@ -37,7 +37,7 @@
 }
 
 func newModelWorker(p *simulation, name string) *modelWorker {
-	w := &modelWorker{replay: p, mu: make(chan struct{}, 1)}
+	w := &modelWorker{simulation: p, mu: make(chan struct{}, 1)}
 	w.reset(incarnation.New(name, clockStart), time.Hour)
 	return w
 }
@@ -74,7 +74,7 @@
 		w.unlock()
 		if due {
 			reported = time.Now()
-			w.replay.agents[vm].Reported(report)
+			w.simulation.agents[vm].Reported(report)
 		}
 		wait.For(ctx, simulatedStep)
 	}
@@ -86,7 +86,7 @@
 	case w.run == nil:
 	case w.now() > w.leaseUntil:
 		w.endRun(job.EndLapsed)
-	case !w.replay.longRunning && time.Since(w.runStartedAt) >= w.replay.taskTime:
+	case !w.simulation.longRunning && time.Since(w.runStartedAt) >= w.simulation.taskTime:
 		w.endRun(job.EndDone)
 	}
 }
@@ -125,7 +125,7 @@
 	late := w.startDelay
 	w.unlock()
 	go func() {
-		wait.For(w.replay.ctx, late)
+		wait.For(w.simulation.ctx, late)
 		if w.lockForCall(id) == nil {
 			w.startRun(start)
 			w.unlock()
@@ -149,11 +149,11 @@
 		return host.RefusedLate
 	}
 	w.fence = max(w.fence, start.Fence)
-	if w.replay.running() > 0 {
-		w.replay.recordViolation("run %d starts on %s beside another run of the task", start.Run.Number, w.id)
+	if w.simulation.running() > 0 {
+		w.simulation.recordViolation("run %d starts on %s beside another run of the task", start.Run.Number, w.id)
 	}
-	if w.replay.completionRecorded && !w.replay.longRunning {
-		w.replay.recordViolation("run %d starts on %s after the acknowledged end of the task", start.Run.Number, w.id)
+	if w.simulation.completionRecorded && !w.simulation.longRunning {
+		w.simulation.recordViolation("run %d starts on %s after the acknowledged end of the task", start.Run.Number, w.id)
 	}
 	run := start.Run
 	w.run, w.runStartedAt, w.latestRun = &run, time.Now(), run.Number
@@ -225,7 +225,7 @@
 func (w *modelWorker) acknowledgeEnds(acknowledged uint64) {
 	w.ends = slices.DeleteFunc(w.ends, func(e host.EndedRun) bool {
 		if e.Sequence <= acknowledged && e.End == job.EndDone {
-			w.replay.completionRecorded = true
+			w.simulation.completionRecorded = true
 		}
 		return e.Sequence <= acknowledged
 	})
--- a/internal/dispatch/moves.go
+++ b/internal/dispatch/moves.go
@@ -70,7 +70,7 @@
 func (t *term) suitedElsewhere(planner *plan.Planner, host job.Host, id job.TaskID, p *placedRun) bool {
 	tracked := t.jobs[id.Job]
 	group := &plan.Group{
-		Job: tracked.job, Time: id.Iteration, StepIndex: id.Step, Step: p.step, Service: t.currentQueue(tracked).Service,
+		Job: tracked.job, Iteration: id.Iteration, StepIndex: id.Step, Step: p.step, Service: t.currentQueue(tracked).Service,
 		TasksByWorker: map[job.Host]int{}, Avoid: map[job.Host]bool{host: true},
 	}
 	return planner.HasSuitableWorker(group)
--- a/internal/dispatch/reconcile.go
+++ b/internal/dispatch/reconcile.go
@@ -35,10 +35,10 @@
 		t.handleRejected(h, rejected)
 	}
 	switch {
-	case !r.Silent:
+	case !r.Unreachable:
 		t.compareRuns(h, r)
 		t.sample(h, r)
-	case r.Lapsed:
+	case r.LeaseExpired:
 		t.markUnreachable(h, "the worker does not answer and its leases have expired")
 	}
 	return true
@@ -114,7 +114,7 @@
 	if tracked := t.jobs[id.Job]; tracked != nil {
 		tracked.unsavedCheckpoints = tracked.job.RecordCheckpoint(id, r.Number, r.Checkpoint) || tracked.unsavedCheckpoints
 	}
-	if !r.Fresh {
+	if !r.Starting {
 		t.recordStartupSurvival(h, id, p)
 	}
 	p.measurement, p.reportedAt = r.Measurement, time.Now()
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -76,7 +76,7 @@
 	received.reconciled = t.reconcile(a, r, received.requiredVersions)
 	answer := &received.answer
 	answer.Epoch, answer.FirstFence, answer.LastFence = t.epoch, a.fences.first, a.fences.last
-	answer.Profiles = t.profiles(r.Unknown)
+	answer.Profiles = t.profiles(r.MissingProfiles)
 	answer.Interference, answer.LoadFrequency = t.interferenceWeights(a.host), quantize(t.pressure.LoadFrequency(), frequencyResolution)
 	answer.Loads = t.serviceLoads(a.host)
 	answer.Backlog = quantize(t.backlog.level, backlogResolution)
@@ -104,7 +104,7 @@
 	answer.AcknowledgedEnds = a.acknowledgedEnds
 	answer.LeaseMillis = min(agentLease, max(leaderTimeout-age, 0)).Milliseconds()
 	answer.Unverified = age > staleVerificationAfter
-	answer.Entries, answer.List = t.entriesFor(r.VM, r.List)
+	answer.Entries, answer.EntriesVersion = t.entriesFor(r.VM, r.EntriesVersion)
 	if newest := t.dispatcher.config.Policies.Newest(); newest != nil {
 		answer.Connections = newest.Connections(r.Service)
 		answer.UnknownService = r.Instance != "" && !newest.HasService(r.Service)
@@ -123,7 +123,7 @@
 // readRows decodes the running tasks of a report that are encoded as rows.
 func (a *agent) readRows(r *link.Report) (err error) {
 	if r.Running == nil {
-		r.Running, err = a.rowReader.Read(r.Rows, r.Named)
+		r.Running, err = a.rowReader.Read(r.Rows, r.RowNames)
 	}
 	return err
 }
@@ -157,16 +157,16 @@
 		}
 		t.stopLateStarts(current)
 	}
-	if !r.Silent {
+	if !r.Unreachable {
 		t.resolveUnreachable(current)
 	}
 	w := &t.ensureHost(current).worker
-	if open := !r.Draining && !r.Silent; open != w.Schedulable {
+	if open := !r.Draining && !r.Unreachable; open != w.Schedulable {
 		t.wakeUp()
 	}
 	w.Service, w.Labels = r.Service, r.Labels
 	w.Capacity = job.Size{CPU: r.CPU, Memory: r.Memory, GPU: r.GPU}
-	w.Schedulable = !r.Draining && !r.Silent
+	w.Schedulable = !r.Draining && !r.Unreachable
 	t.hosts.get(current).draining = r.Draining
 }
 
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -69,7 +69,7 @@
 		assert.NilError(t, err)
 		assert.NilError(t, cycle(context.Background(), leader))
 		silent := testReport("i1")
-		silent.Silent = true
+		silent.Unreachable = true
 		silent.Ended = []link.Ended{{Run: link.Run{Task: "00000000000000aa.0.0.0", Number: 1}, Sequence: 7}}
 		answer, err := leader.report(fakeSession{a}, silent)
 		assert.NilError(t, err)
@@ -174,9 +174,9 @@
 
 func (named) Newest() *policy.Policy { return policy.New(1, nil, map[string]int{testService: 3}, 0) }
 
-// TestReportOfUnconfiguredServiceIsMarkedForeign checks that the answer to a report marks a service that is in no configuration, so that the agent
+// TestReportOfUnconfiguredServiceIsMarkedUnknown checks that the answer to a report marks a service that is in no configuration, so that the agent
 // discards a first report from an unknown sender.
-func TestReportOfUnconfiguredServiceIsMarkedForeign(t *testing.T) {
+func TestReportOfUnconfiguredServiceIsMarkedUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader := testTerm(t, kvtest.New())
 		a := &fakeAgent{vm: "vm"}
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -20,7 +20,7 @@
 	// clockBehind and clockAhead restart under the same id with another clock, birthEarlier with a start time before the previous one.
 	clockBehind restartKind = iota
 	clockAhead
-	birthEarlier
+	startTimeEarlier
 	// newID restarts under another id without a start time, reusedID under the id that the worker had at first.
 	newID
 	reusedID
@@ -52,13 +52,13 @@
 
 // replayCase is a kind of task, the delay of starts, and the restarts of workers.
 type replayCase struct {
-	lasting    bool
-	startDelay time.Duration
-	restarts   []restart
+	longRunning bool
+	startDelay  time.Duration
+	restarts    []restart
 }
 
 func (c replayCase) String() string {
-	return fmt.Sprintf("long-running=%t start-delay=%v %v", c.lasting, c.startDelay, c.restarts)
+	return fmt.Sprintf("long-running=%t start-delay=%v %v", c.longRunning, c.startDelay, c.restarts)
 }
 
 const (
@@ -152,7 +152,7 @@
 func runRestartCase(t *testing.T, c replayCase) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	p := newSimulation(ctx, t, 2, c.lasting)
+	p := newSimulation(ctx, t, 2, c.longRunning)
 	time.Sleep(2 * time.Second)
 	for _, w := range p.workers {
 		w.startDelay = c.startDelay
@@ -192,7 +192,7 @@
 		w.restart(incarnation.New(w.id.Worker(), clockStart+step), time.Minute)
 	case clockAhead:
 		w.restart(incarnation.New(w.id.Worker(), clockStart+step), time.Duration(step+1)*time.Hour)
-	case birthEarlier:
+	case startTimeEarlier:
 		w.restart(incarnation.New(w.id.Worker(), clockStart-step), time.Second)
 	case newID:
 		w.restart(incarnation.New(fmt.Sprintf("i-new-%d-%d", vm, n), 0), time.Second)
@@ -212,12 +212,12 @@
 			// A task whose workers crash shortly after its start may be given up after two crashes.
 			return
 		}
-		if !c.lasting && state == job.Completed {
+		if !c.longRunning && state == job.Completed {
 			// Late starts are carried out within this time.
 			time.Sleep(3 * time.Second)
 			return
 		}
-		if c.lasting && time.Since(began) > 6*time.Second && p.running() == 1 {
+		if c.longRunning && time.Since(began) > 6*time.Second && p.running() == 1 {
 			return
 		}
 	}
--- a/internal/dispatch/rows_test.go
+++ b/internal/dispatch/rows_test.go
@@ -16,7 +16,7 @@
 
 // withRows returns a report with its runs encoded as rows.
 func withRows(w *link.RowWriter, r link.Report) link.Report {
-	r.Rows, r.Named = w.Write(r.Running)
+	r.Rows, r.RowNames = w.Write(r.Running)
 	r.Running = nil
 	return r
 }
@@ -33,7 +33,7 @@
 			if report.Running == nil {
 				assert.Equal(t, len(report.Rows), 1)
 			}
-			assert.Equal(t, len(report.Named) > 0, percent == 1, "names are sent once")
+			assert.Equal(t, len(report.RowNames) > 0, percent == 1, "names are sent once")
 			time.Sleep(resendAfter + time.Millisecond)
 			_, err := leader.report(fakeSession{a}, report)
 			assert.NilError(t, err)
@@ -68,18 +68,18 @@
 		leader := termWithPlacedTask(t, kvtest.New(), a)
 		answerTo := func(version uint64) link.ReportAnswer {
 			r := runningReport()
-			r.List = version
+			r.EntriesVersion = version
 			answer, err := leader.report(fakeSession{a}, r)
 			assert.NilError(t, err)
 			return answer
 		}
 		first := answerTo(0)
 		assert.DeepEqual(t, first.Entries, []string{"e"})
-		assert.Equal(t, len(answerTo(first.List).Entries), 0)
+		assert.Equal(t, len(answerTo(first.EntriesVersion).Entries), 0)
 		leader.recordPing(link.Ping{Address: "f"}, nil)
-		second := answerTo(first.List)
+		second := answerTo(first.EntriesVersion)
 		assert.DeepEqual(t, second.Entries, []string{"e", "f"})
-		assert.Equal(t, len(answerTo(second.List).Entries), 0)
-		assert.Equal(t, len(answerTo(first.List).Entries), 2)
+		assert.Equal(t, len(answerTo(second.EntriesVersion).Entries), 0)
+		assert.Equal(t, len(answerTo(first.EntriesVersion).Entries), 2)
 	})
 }
--- a/internal/dispatch/savedmodel.go
+++ b/internal/dispatch/savedmodel.go
@@ -14,7 +14,7 @@
 
 // addModel adds the interference model to a batch that commits jobs, if its save is due.
 func (t *term) addModel(b *batch) {
-	if time.Since(t.learnedSavedAt) < modelSaveInterval || len(b.versions) == 0 {
+	if time.Since(t.modelSavedAt) < modelSaveInterval || len(b.versions) == 0 {
 		return
 	}
 	value, err := t.pressure.Encode()
@@ -22,7 +22,7 @@
 		t.logger.Error("cannot encode the interference model: %v", err)
 		return
 	}
-	t.learnedSavedAt = time.Now()
+	t.modelSavedAt = time.Now()
 	b.txn.Puts = append(b.txn.Puts, kv.Put{Key: record.PressureKey, Value: value})
 }
 
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -107,7 +107,7 @@
 	if p.depose != nil {
 		p.depose()
 	}
-	p.store.Revoke()
+	p.store.RemoveLeasedKeys()
 	p.leaders++
 	name := fmt.Sprintf("e%d", p.leaders)
 	d := newTestEntry(name, p.store)
@@ -136,7 +136,7 @@
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
 	pool := relay.NewPool("", "", mux, nil)
 	r := runner.New(runner.Config{
-		VM: fmt.Sprintf("vm%d", n), ClosedWithin: testClosedWithin, LongestHold: 6 * time.Second, Worker: p.workers[n],
+		VM: fmt.Sprintf("vm%d", n), ClosureDelay: testClosedWithin, MaxRenewal: 6 * time.Second, Worker: p.workers[n],
 		Store: relay.New(p.store, health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: p.network.dial,
 		Uptime: p.uptime, Random: func() float64 { return 0.5 }, Logger: logging.Discard(), Metrics: metric.New(),
 	})
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -20,7 +20,7 @@
 	return t.jobState(id)
 }
 
-func (d *Dispatcher) state(_ context.Context, _ *rpc.Peer, r link.JobState) (link.JobStateAnswer, error) {
+func (d *Dispatcher) state(_ context.Context, _ *rpc.Peer, r link.JobStateRequest) (link.JobStateAnswer, error) {
 	state, known := d.JobState(job.ID(r.Job))
 	return link.JobStateAnswer{Known: known, State: int(state)}, nil
 }
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -94,7 +94,7 @@
 
 // elect replaces the leader by another process.
 func (s *crashStorm) elect(name string) {
-	s.store.Revoke()
+	s.store.RemoveLeasedKeys()
 	leader, err := newTestEntry(name, s.store).tryAcquire(s.t.Context())
 	assert.NilError(s.t, err)
 	assert.NilError(s.t, leader.load(s.t.Context()))
@@ -153,7 +153,7 @@
 func (s *crashStorm) reportDown(w *stormWorker) {
 	r := link.Report{
 		VM: w.agent.vm, Epoch: s.leader.epoch, Instance: fmt.Sprintf("%s-%d", w.agent.vm, w.incarnations-1), Service: testService, CPU: 32000,
-		Memory: 128000, Fenced: true, Silent: true, FirstFailureMillis: time.Since(w.crashedAt).Milliseconds(),
+		Memory: 128000, Fenced: true, Unreachable: true, FirstFailureMillis: time.Since(w.crashedAt).Milliseconds(),
 	}
 	_, err := s.leader.report(fakeSession{w.agent}, r)
 	assert.NilError(s.t, err)
@@ -230,7 +230,7 @@
 	for run, state := range w.running {
 		age := time.Since(state.startedAt)
 		r.Running = append(r.Running, link.Running{
-			Run: run, Pace: 100, Percent: int(100 * age / stormProgressTime), Fresh: age < crash.StartupTime,
+			Run: run, Pace: 100, Percent: int(100 * age / stormProgressTime), Starting: age < crash.StartupTime,
 		})
 	}
 	return r
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -92,7 +92,7 @@
 // with their highest suspicion score.
 func (k *trackedJob) splitSuspects(id job.TaskID, waiting []int, now time.Time) (others, suspects []int, score int) {
 	for _, id.Index = range waiting {
-		suspicion := k.job.Suspicion(id)
+		suspicion := k.job.CrashHistory(id)
 		if !suspicion.Suspect() || !k.waitsForOwnWorker(id, now) {
 			others = append(others, id.Index)
 			continue
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -15,9 +15,9 @@
 	// answerAgeMargin is how much newer an entry's last answer from the store must be than the leader's first failed call to show that the
 	// store works: message delays and slow processes make the answer look newer than it is.
 	answerAgeMargin = 20 * time.Millisecond
-	// yieldFailures is the number of consecutive unanswered calls to the store after which a leader steps down while the store answers other
+	// stepDownFailures is the number of consecutive unanswered calls to the store after which a leader steps down while the store answers other
 	// entries: if a third of all answers is lost, that happens about once in several hundred commits.
-	yieldFailures = 5
+	stepDownFailures = 5
 	// successorWait is how long a leader without the store waits for the ping of a successor at least as strong as itself: a weaker one plans
 	// more slowly for its whole term, and entries ping twice a second.
 	successorWait = 900 * time.Millisecond
@@ -27,8 +27,8 @@
 	// outrankTermAge is the least age of the term for that, outrankAnswerAge the greatest age of the entry's last answer from the store.
 	outrankTermAge   = time.Second
 	outrankAnswerAge = time.Second
-	// yieldCooldown is how long a leader that stepped down is no candidate.
-	yieldCooldown = time.Second
+	// stepDownCooldown is how long a leader that stepped down is no candidate.
+	stepDownCooldown = time.Second
 )
 
 // suspectedLeader is a leader that this entry may replace before its lease expires.
@@ -81,17 +81,17 @@
 // assessStore returns which processes the store answers, by the leader's own calls and the ping of an entry.
 func (t *term) assessStore(p link.Ping) storeReach {
 	health := t.dispatcher.config.Health
-	if !health.Down() && health.Failures() < yieldFailures {
+	if !health.Down() && health.Failures() < stepDownFailures {
 		return storeReachable
 	}
 	answeredAt := time.Now().Add(-time.Duration(p.StoreAgeMillis) * time.Millisecond)
-	newer := p.StoreAgeMillis >= 0 && answeredAt.After(health.Failing().Add(answerAgeMargin))
+	newer := p.StoreAgeMillis >= 0 && answeredAt.After(health.FailingSince().Add(answerAgeMargin))
 	switch {
-	case !newer && (t.storeAnsweredOther(health.Failing()) || health.Limited()):
+	case !newer && (t.storeAnsweredOther(health.FailingSince()) || health.Limited()):
 		return storeReachable
 	case !newer:
 		return storeUnavailable
-	case health.Failures() >= yieldFailures && (p.Strength >= t.dispatcher.config.Strength || time.Since(health.Failing()) > successorWait):
+	case health.Failures() >= stepDownFailures && (p.Strength >= t.dispatcher.config.Strength || time.Since(health.FailingSince()) > successorWait):
 		return storeReachableByOthers
 	}
 	t.mu.Lock()
@@ -119,26 +119,26 @@
 	return p.StoreAgeMillis >= 0 && p.StoreAgeMillis < outrankAnswerAge.Milliseconds()
 }
 
-// yield makes the leader step down for another entry.
-func (t *term) yield(entry, reason string) {
+// stepDown makes the leader step down for another entry.
+func (t *term) stepDown(entry, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
-	case <-t.yielded:
+	case <-t.steppedDown:
 	default:
 		t.logger.Warn("the leader steps down; epoch=%d to=%s reason=%s", t.epoch, entry, reason)
-		close(t.yielded)
+		close(t.steppedDown)
 	}
 }
 
-// awaitYield ends the term and closes the sessions of its agents as soon as the leader steps down.
-func (t *term) awaitYield(ctx context.Context) error {
+// awaitStepDown ends the term and closes the sessions of its agents as soon as the leader steps down.
+func (t *term) awaitStepDown(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-t.yielded:
+	case <-t.steppedDown:
 	}
-	t.dispatcher.backoffUntil.Store(time.Now().Add(yieldCooldown).UnixMilli())
+	t.dispatcher.backoffUntil.Store(time.Now().Add(stepDownCooldown).UnixMilli())
 	t.dispatcher.term.CompareAndSwap(t, nil)
 	t.closeSessions()
 	return fault.New(fault.Unavailable, "another entry takes over")
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -53,27 +53,27 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		ended := make(chan error, 1)
-		go func() { ended <- leader.awaitYield(ctx) }()
+		go func() { ended <- leader.awaitStepDown(ctx) }()
 		strength := 0.2
-		fail := func() { d.config.Health.Note(time.Now(), fault.New(fault.Unavailable, "store unreachable")) }
+		fail := func() { d.config.Health.Record(time.Now(), fault.New(fault.Unavailable, "store unreachable")) }
 		ping := func(age time.Duration) link.PingAnswer {
 			answer, err := d.ping(ctx, nil, link.Ping{Entry: "f", Address: "f", Strength: strength, StoreAgeMillis: age.Milliseconds()})
 			assert.NilError(t, err)
 			return answer
 		}
 		time.Sleep(time.Second)
-		d.config.Health.Note(time.Now(), nil)
+		d.config.Health.Record(time.Now(), nil)
 		fail()
-		assert.DeepEqual(t, ping(0), link.PingAnswer{Entries: []string{"e", "f"}, List: 2, Rank: 1})
+		assert.DeepEqual(t, ping(0), link.PingAnswer{Entries: []string{"e", "f"}, EntriesVersion: 2, Rank: 1})
 		fail()
 		time.Sleep(successorWait / 2)
 		assert.Assert(t, ping(2*time.Second).StoreDown, "the entry's last answer is older than the first failure")
 		assert.Assert(t, ping(-time.Millisecond).StoreDown, "the store never answered the entry")
-		assert.Equal(t, leader.storeAnsweredOther(d.config.Health.Failing()), false)
+		assert.Equal(t, leader.storeAnsweredOther(d.config.Health.FailingSince()), false)
 		recent := ping(0)
 		assert.Assert(t, !recent.StoreDown && !recent.TakeOver, "the leader retries a few times")
 		assert.Assert(t, !ping(-time.Millisecond).StoreDown, "the store answers another entry")
-		for range yieldFailures {
+		for range stepDownFailures {
 			fail()
 		}
 		assert.Assert(t, !ping(0).TakeOver, "a stronger entry may ping")
@@ -124,14 +124,14 @@
 		assert.NilError(t, err)
 		d.term.Store(leader)
 		time.Sleep(time.Second)
-		d.config.Health.Note(time.Now(), nil)
+		d.config.Health.Record(time.Now(), nil)
 		ping := func(age time.Duration) link.PingAnswer {
 			answer, err := d.ping(t.Context(), nil, link.Ping{Entry: "f", Address: "f", Strength: 1, StoreAgeMillis: age.Milliseconds()})
 			assert.NilError(t, err)
 			return answer
 		}
-		for range yieldFailures {
-			d.config.Health.Note(time.Now(), fault.New(fault.Overloaded, "rate limit exceeded"))
+		for range stepDownFailures {
+			d.config.Health.Record(time.Now(), fault.New(fault.Overloaded, "rate limit exceeded"))
 			answer := ping(time.Second)
 			assert.Assert(t, !answer.StoreDown && !answer.TakeOver, "the rate limit of all entries may be exhausted")
 			time.Sleep(2 * answerAgeMargin)
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -60,15 +60,15 @@
 	closures       *hall.Closures
 	// storeAnswered notifies a commit that waits to be retried that the store answers another entry.
 	storeAnswered chan struct{}
-	// yielded is closed once another entry is asked to take over.
-	yielded chan struct{}
+	// steppedDown is closed once another entry is asked to take over.
+	steppedDown chan struct{}
 	// notifiedStoreDown reports whether the entries were notified that the store is unavailable; only the committing goroutine uses it.
 	notifiedStoreDown bool
 
 	// mu guards the lease and all fields below; it is not held while waiting for an answer.
-	mu            sync.Mutex
-	chainRevision kv.Revision
-	commitCount   uint64
+	mu                 sync.Mutex
+	lastCommitRevision kv.Revision
+	commitCount        uint64
 	// verifiedAt is when the leader sent the last request whose answer confirmed its leadership.
 	verifiedAt boottime.Instant
 	jobs       map[job.ID]*trackedJob
@@ -82,9 +82,9 @@
 	changeCount uint64
 	advice      map[stepID]*advice
 	pressure    *pressure.Model
-	// learnedSavedAt is when the interference model was last saved, loadLoggedAt when the load was last logged.
-	learnedSavedAt time.Time
-	loadLoggedAt   time.Time
+	// modelSavedAt is when the interference model was last saved, loadLoggedAt when the load was last logged.
+	modelSavedAt time.Time
+	loadLoggedAt time.Time
 	// closuresUnconfirmed reports whether placement is paused because the store has not confirmed recently which halls are closed.
 	closuresUnconfirmed bool
 	leaseReplaced       bool
@@ -107,7 +107,7 @@
 		lateStarts:  make(host.LateCalls[lateStart]),
 		pressure:    pressure.NewModel(), closures: d.config.Closures,
 		commitTimeouts: wait.NewTimeout(minCommitTimeout, maxCommitTimeout),
-		storeAnswered:  make(chan struct{}, 1), yielded: make(chan struct{}),
+		storeAnswered:  make(chan struct{}, 1), steppedDown: make(chan struct{}),
 	}
 }
 
@@ -169,7 +169,7 @@
 func (t *term) run(ctx context.Context, loaded func()) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.Go(func() error { return t.renewLease(groupCtx) })
-	group.Go(func() error { return t.awaitYield(groupCtx) })
+	group.Go(func() error { return t.awaitStepDown(groupCtx) })
 	group.Go(func() error {
 		if err := t.load(groupCtx); err != nil {
 			t.dispatcher.backoffUntil.Store(time.Now().Add(noReportsCooldown).UnixMilli())
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -93,7 +93,7 @@
 	text := r.service + ": " + err.Error()
 	switch {
 	case fault.KindOf(err).Answer().Ran() == fault.RanUnknown:
-		e.Recorder.Record(timeline.RequestInDoubt, subject, text)
+		e.Recorder.Record(timeline.RequestOutcomeUnknown, subject, text)
 	case e.refusals.Allow():
 		e.Recorder.Record(timeline.RequestRefused, subject, text)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -39,17 +39,17 @@
 
 // Config is what an entry needs of its process.
 type Config struct {
-	ID       string
-	Hall     string
-	Secret   string
-	Peers    string
-	Timing   Timing
-	Store    store.Store
-	VMs      vmlist.List
-	Logger   logging.Logger
-	Clock    *timeline.Clock
-	Recorder *timeline.Recorder
-	Metrics  *metric.Registry
+	ID          string
+	Hall        string
+	Secret      string
+	PeerAddress string
+	Timing      Timing
+	Store       store.Store
+	VMs         vmlist.List
+	Logger      logging.Logger
+	Clock       *timeline.Clock
+	Recorder    *timeline.Recorder
+	Metrics     *metric.Registry
 }
 
 const refusalsPerSecond = 5
@@ -93,7 +93,7 @@
 // Ready reports whether the entry can serve: it has the table and knows a lead of each cell, or knew one.
 func (e *Entry) Ready() bool {
 	_, _, loaded := e.rows.Current()
-	return loaded && !e.leaving.Load() && (e.catalog.HasLeads() || len(e.catalog.All()) > 0)
+	return loaded && !e.leaving.Load() && (e.catalog.HasLeaders() || len(e.catalog.AgentEndpoints()) > 0)
 }
 
 // Run works until ctx ends, and then finishes the requests in flight.
@@ -104,7 +104,7 @@
 	group, work := errgroup.WithContext(work)
 	follower := &catalog.Follower{
 		Catalog: e.catalog, Entry: e.ID, Secret: e.Secret, Store: e.Store, VMs: e.VMs,
-		List: e.Timing.List, Subscribe: e.Timing.Subscribe, Logger: e.Logger.Part("catalog"), Clock: e.Clock,
+		List: e.Timing.List, Subscribe: e.Timing.Subscribe, Logger: e.Logger.Named("catalog"), Clock: e.Clock,
 	}
 	group.Go(func() error { return follower.Run(work) })
 	group.Go(func() error { return e.followTable(work) })
@@ -126,7 +126,7 @@
 
 func (e *Entry) followTable(ctx context.Context) error {
 	store.Follow(ctx, e.rows, func(t table.Table, _ store.Version) {
-		e.Recorder.Record(timeline.TableSeen, timeline.Subject{}, "the table changed")
+		e.Recorder.Record(timeline.TableChanged, timeline.Subject{}, "the table changed")
 		e.Logger.Info("table version %d is in force", t.Version())
 	}, func(err error) { e.Logger.Debug("cannot watch the table: %v", err) })
 	return ctx.Err()
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -23,7 +23,7 @@
 
 // hand closes slots, lets their requests end, gives their keys to the next owner and then the slots themselves.
 func (k *keyring) hand(ctx context.Context, owners idempotency.Owners, slots []int, to string) {
-	address, ok := owners.Member(to)
+	address, ok := owners.Address(to)
 	if !ok {
 		return
 	}
@@ -39,11 +39,11 @@
 	if err := k.closeSlots(ctx, slots); err != nil {
 		return err
 	}
-	var message control.Hand
+	var message control.Handover
 	for _, slot := range slots {
-		message.Slots = append(message.Slots, control.HandSlot{Slot: slot, Keys: encodeKept(k.keys.Hand(slot))})
+		message.Slots = append(message.Slots, control.HandoverSlot{Slot: slot, Keys: encodeKept(k.keys.Export(slot))})
 	}
-	if err := k.post(address, control.PathHand, message, nil); err != nil {
+	if err := k.post(address, control.PathHandover, message, nil); err != nil {
 		return err
 	}
 	_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
@@ -52,7 +52,7 @@
 			if o.Owner(slot).Entry() != k.member {
 				continue
 			}
-			handed, err := next.Hand(slot, k.member, to)
+			handed, err := next.Transfer(slot, k.member, to)
 			if err != nil {
 				return o, false, err
 			}
@@ -85,26 +85,26 @@
 	return fault.New(fault.Unavailable, "requests of the keys still run")
 }
 
-func encodeKept(kept []idempotency.Kept) []control.HandKey {
-	wires := make([]control.HandKey, 0, len(kept))
+func encodeKept(kept []idempotency.KeyResult) []control.HandoverKey {
+	wires := make([]control.HandoverKey, 0, len(kept))
 	for _, h := range kept {
-		w := control.HandKey{Key: h.Key()}
+		w := control.HandoverKey{Key: h.Key()}
 		if a := h.Answer(); a != nil {
-			w.Kept, w.Status, w.ContentType, w.Body = true, a.Status(), a.ContentType(), a.Body()
+			w.HasAnswer, w.Status, w.ContentType, w.Body = true, a.Status(), a.ContentType(), a.Body()
 		}
 		wires = append(wires, w)
 	}
 	return wires
 }
 
-func decodeKept(wires []control.HandKey) []idempotency.Kept {
-	kept := make([]idempotency.Kept, 0, len(wires))
+func decodeKept(wires []control.HandoverKey) []idempotency.KeyResult {
+	kept := make([]idempotency.KeyResult, 0, len(wires))
 	for _, w := range wires {
 		var answer *idempotency.Answer
-		if w.Kept {
+		if w.HasAnswer {
 			answer = idempotency.NewAnswer(w.Status, w.ContentType, w.Body)
 		}
-		kept = append(kept, idempotency.NewKept(w.Key, answer))
+		kept = append(kept, idempotency.NewKeyResult(w.Key, answer))
 	}
 	return kept
 }
@@ -121,10 +121,10 @@
 	ran := make(map[int][]string)
 	var doubtUntil time.Time
 	if lost := k.entry.catalog.LastVanished(); !lost.IsZero() {
-		doubtUntil = lost.Add(idempotency.Remember)
+		doubtUntil = lost.Add(idempotency.Retention)
 	}
 	var asked sync.WaitGroup
-	for _, endpoint := range k.entry.catalog.All() {
+	for _, endpoint := range k.entry.catalog.AgentEndpoints() {
 		asked.Go(func() {
 			answer, err := k.seal(endpoint, seal)
 			mu.Lock()
@@ -146,13 +146,13 @@
 // doubtOf is until when keys stay in doubt for an agent's sake.
 func doubtOf(answer control.SealAnswer, err error, now time.Time) time.Time {
 	if err != nil {
-		return now.Add(idempotency.Remember)
+		return now.Add(idempotency.Retention)
 	}
 	uptime := time.Duration(answer.UptimeMillis) * time.Millisecond
-	if answer.Fresh || uptime >= idempotency.Remember {
+	if answer.NoEarlierStart || uptime >= idempotency.Retention {
 		return time.Time{}
 	}
-	return now.Add(idempotency.Remember - uptime)
+	return now.Add(idempotency.Retention - uptime)
 }
 
 func later(a, b time.Time) time.Time {
@@ -184,7 +184,7 @@
 	if err := json.Unmarshal(in.Body(), &answer); err != nil {
 		return answer, fault.Wrap(err, fault.Internal, "the agent's answer cannot be read")
 	}
-	if answer.Boot != endpoint.Boot() && !answer.Fresh {
+	if answer.Boot != endpoint.Boot() && !answer.NoEarlierStart {
 		return answer, fault.New(fault.Unavailable, "the agent was started anew")
 	}
 	return answer, nil
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -77,7 +77,7 @@
 func (e *Entry) submit(ctx context.Context, s submission, row table.Row) (control.Job, error) {
 	cells := e.catalog.ForJob(row.Size())
 	if len(cells) == 0 {
-		if !e.catalog.KnowsWorkers() {
+		if !e.catalog.WorkersReported() {
 			return control.Job{}, fault.New(fault.Unavailable, "not every cell has a lead that has heard its workers")
 		}
 		return control.Job{}, fault.New(fault.Impossible, "no worker of the region has %s, even empty", row.Size())
@@ -91,7 +91,7 @@
 		id = claimed
 	}
 	message := control.Submit{
-		ID: id, Workload: s.Workload, Payload: s.Payload, Tasks: s.Tasks, Millis: time.Now().UnixMilli(),
+		ID: id, Workload: s.Workload, Payload: s.Payload, Tasks: s.Tasks, SubmittedMillis: time.Now().UnixMilli(),
 	}
 	return callLead[control.Submit, control.Job](ctx, e, cellOfJob(id), control.MethodSubmit, message)
 }
--- a/internal/entry/keyring.go
+++ b/internal/entry/keyowner.go
@@ -94,7 +94,7 @@
 	if !loaded {
 		return
 	}
-	if _, ok := owners.Member(k.member); !ok {
+	if _, ok := owners.Address(k.member); !ok {
 		k.join(ctx)
 		return
 	}
@@ -104,10 +104,10 @@
 
 func (k *keyring) join(ctx context.Context) {
 	_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
-		if _, ok := o.Member(k.member); ok {
+		if _, ok := o.Address(k.member); ok {
 			return o, false, nil
 		}
-		return o.Join(k.member, k.entry.Peers), true, nil
+		return o.Join(k.member, k.entry.PeerAddress), true, nil
 	})
 	if err != nil {
 		k.entry.Logger.Debug("cannot join the owners of keys: %v", err)
@@ -120,15 +120,15 @@
 		if member == k.member {
 			continue
 		}
-		address, _ := owners.Member(member)
+		address, _ := owners.Address(member)
 		if !k.isDead(member, k.ping(address, member), time.Now()) {
 			continue
 		}
 		_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
-			if _, ok := o.Member(member); !ok {
+			if _, ok := o.Address(member); !ok {
 				return o, false, nil
 			}
-			return o.Bury(member), true, nil
+			return o.RemoveFailed(member), true, nil
 		})
 		if err == nil {
 			k.entry.Logger.Warn("entry %s does not answer, and others own its keys now", member)
@@ -155,7 +155,7 @@
 func (k *keyring) settleSlots(ctx context.Context, owners idempotency.Owners) {
 	var taken []int
 	moving := make(map[string][]int)
-	for slot := range idempotency.Slots {
+	for slot := range idempotency.SlotCount {
 		owner := owners.Owner(slot)
 		epoch, owns := k.keys.Owns(slot)
 		switch {
@@ -165,8 +165,8 @@
 			}
 		case !owns || epoch != owner.Epoch():
 			taken = append(taken, slot)
-		case owners.Wanted(slot) != k.member:
-			moving[owners.Wanted(slot)] = append(moving[owners.Wanted(slot)], slot)
+		case owners.Preferred(slot) != k.member:
+			moving[owners.Preferred(slot)] = append(moving[owners.Preferred(slot)], slot)
 		}
 	}
 	if len(taken) > 0 {
@@ -182,13 +182,13 @@
 	now := time.Now()
 	var doubtful []int
 	for _, slot := range slots {
-		if owners.Owner(slot).InDoubt() {
+		if owners.Owner(slot).PreviousFailed() {
 			doubtful = append(doubtful, slot)
 			continue
 		}
 		k.keys.Own(slot, owners.Owner(slot).Epoch(), nil, time.Time{}, now)
 	}
-	k.entry.Recorder.Record(timeline.KeysTaken, timeline.Subject{}, "owns keys of slots anew")
+	k.entry.Recorder.Record(timeline.KeySlotsAcquired, timeline.Subject{}, "owns keys of slots anew")
 	if len(doubtful) > 0 {
 		k.takeDoubtful(owners, doubtful, now)
 	}
@@ -223,7 +223,7 @@
 	if owner.Entry() == k.member || owner.Entry() == "" {
 		return nil, true, fault.New(fault.OutcomeUnknown, "the owner of the key is changing")
 	}
-	address, ok := owners.Member(owner.Entry())
+	address, ok := owners.Address(owner.Entry())
 	if !ok {
 		return nil, true, fault.New(fault.OutcomeUnknown, "the owner of the key is not known")
 	}
@@ -264,16 +264,16 @@
 	}
 	rest := owners.Leave(k.member)
 	moving := make(map[string][]int)
-	for slot := range idempotency.Slots {
-		if _, owns := k.keys.Owns(slot); owns && rest.Wanted(slot) != "" {
-			moving[rest.Wanted(slot)] = append(moving[rest.Wanted(slot)], slot)
+	for slot := range idempotency.SlotCount {
+		if _, owns := k.keys.Owns(slot); owns && rest.Preferred(slot) != "" {
+			moving[rest.Preferred(slot)] = append(moving[rest.Preferred(slot)], slot)
 		}
 	}
 	for to, slots := range moving {
 		k.hand(ctx, owners, slots, to)
 	}
 	_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
-		if _, ok := o.Member(k.member); !ok || ownsAny(o, k.member) {
+		if _, ok := o.Address(k.member); !ok || ownsAny(o, k.member) {
 			return o, false, nil
 		}
 		return o.Leave(k.member), true, nil
@@ -284,7 +284,7 @@
 }
 
 func ownsAny(o idempotency.Owners, member string) bool {
-	for slot := range idempotency.Slots {
+	for slot := range idempotency.SlotCount {
 		if o.Owner(slot).Entry() == member {
 			return true
 		}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -159,7 +159,7 @@
 	limited, cancel := context.WithTimeout(context.Background(), sightTimeout)
 	defer cancel()
 	status := statusWire{Entry: e.ID, TableVersion: e.table().Version(), Unreachable: []string{}, Cells: []control.CellStatus{}, Endpoints: e.catalog.Counts()}
-	for _, name := range e.catalog.Names() {
+	for _, name := range e.catalog.CellNames() {
 		cell, err := callLead[control.StatusQuery, control.CellStatus](limited, e, name, control.MethodStatus, control.StatusQuery{})
 		if err != nil {
 			status.Unreachable = append(status.Unreachable, name)
@@ -176,7 +176,7 @@
 	defer cancel()
 	last := error(fault.New(fault.NotFound, "there is no task %s", name))
 	found := []control.Explanation{}
-	for _, cell := range e.catalog.Names() {
+	for _, cell := range e.catalog.CellNames() {
 		explanation, err := callLead[control.ExplainQuery, control.Explanation](limited, e, cell, control.MethodExplain,
 			control.ExplainQuery{Task: name})
 		if err == nil {
@@ -199,8 +199,8 @@
 	limited, cancel := context.WithTimeout(context.Background(), sightTimeout)
 	defer cancel()
 	events := e.Recorder.Since(timeline.Stamp(after))
-	for _, cell := range e.catalog.Names() {
-		wires, err := callLead[control.TimelineQuery, []timeline.Wire](limited, e, cell, control.MethodTimeline,
+	for _, cell := range e.catalog.CellNames() {
+		wires, err := callLead[control.TimelineQuery, []timeline.WireEvent](limited, e, cell, control.MethodTimeline,
 			control.TimelineQuery{After: after})
 		if err != nil {
 			e.Logger.Debug("no events from cell %s: %v", cell, err)
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -32,7 +32,7 @@
 		e.open.Add(1)
 		defer e.open.Add(-1)
 		e.handleKeyed(ctx)
-	case control.PathHand:
+	case control.PathHandover:
 		e.handleHand(ctx)
 	default:
 		writePeerError(ctx, fault.New(fault.NotFound, "there is no path %q", ctx.Path()))
@@ -77,13 +77,13 @@
 }
 
 func (e *Entry) handleHand(ctx *fasthttp.RequestCtx) {
-	var hand control.Hand
+	var hand control.Handover
 	if err := json.Unmarshal(ctx.Request.Body(), &hand); err != nil {
 		writePeerError(ctx, fault.Wrap(err, fault.BadInput, "the keys cannot be read"))
 		return
 	}
 	for _, s := range hand.Slots {
-		e.keys.keys.Take(s.Slot, decodeKept(s.Keys), time.Now())
+		e.keys.keys.Import(s.Slot, decodeKept(s.Keys), time.Now())
 	}
 	ctx.SetBodyString("{}")
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/requestpath_test.go
@@ -47,7 +47,7 @@
 	assert.NilError(tb, err)
 	e.rows.Set(store.Version(1), applied)
 	e.catalog.SetPeer("h-0", nil)
-	e.catalog.Take(control.Summary{Cell: "h-0", Position: control.Position{Epoch: 1}, Endpoints: []control.Endpoint{
+	e.catalog.Update(control.Summary{Cell: "h-0", Position: control.Position{Epoch: 1}, Endpoints: []control.Endpoint{
 		{Service: "lookups", Instance: "vm", Boot: "boot", Address: serve(tb, g.Handle), Hall: "h", Slots: 64},
 	}})
 	return e
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -177,7 +177,7 @@
 		return nil, fault.New(fault.OutcomeUnknown, "the agent's answer is not whole")
 	}
 	if load, err := strconv.Atoi(string(header.Peek(control.HeaderLoad))); err == nil {
-		endpoint.Report(load)
+		endpoint.SetReportedLoad(load)
 	}
 	endpoint.Succeed()
 	body := append([]byte(nil), in.Body()...)
@@ -197,7 +197,7 @@
 	out, in := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(out)
 	defer fasthttp.ReleaseResponse(in)
-	out.SetRequestURI("http://" + endpoint.Address() + control.PathSettle)
+	out.SetRequestURI("http://" + endpoint.Address() + control.PathOutcome)
 	out.Header.SetMethod(fasthttp.MethodPost)
 	out.Header.Set(control.HeaderSecret, e.Secret)
 	out.Header.Set(control.HeaderExchange, exchangeID(r, n))
@@ -209,6 +209,6 @@
 	if err := endpoint.Client().DoDeadline(out, in, end); err != nil {
 		return false
 	}
-	var answer control.SettleAnswer
+	var answer control.OutcomeAnswer
 	return json.Unmarshal(in.Body(), &answer) == nil && answer.Ran == string(fault.RanNo)
 }
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -100,7 +100,7 @@
 
 func (f *fleet) newPool(self string, mux *rpc.Mux) *relay.Pool {
 	pool := relay.NewPool(self, "", mux, seedAddresses())
-	pool.SetDial(f.network.dial)
+	pool.SetDialer(f.network.dial)
 	return pool
 }
 
@@ -123,13 +123,13 @@
 	}
 	e.store = relay.New(e.client, health, pool)
 	e.dispatcher = dispatch.New(dispatch.Config{
-		Node: e.address, Boot: e.address, Address: e.address, Strength: strength, Store: e.client, Health: health, Leader: e.lead,
+		Process: e.address, Boot: e.address, Address: e.address, Strength: strength, Store: e.client, Health: health, Leader: e.lead,
 		Policies: policies, Closures: hall.New(e.client, "closed/", closedWithin, clock, logger), Uptime: clock, Logger: logger, Metrics: metric.New(),
 	})
 	desk := intake.New(intake.Config{
-		Store: e.store, Direct: e.client, Health: health, Pool: pool, Policies: policies, Lead: e.lead, Leader: e.dispatcher, Logger: logger, Metrics: metric.New(),
+		Store: e.store, Direct: e.client, Health: health, Pool: pool, Policies: policies, Leader: e.lead, Dispatcher: e.dispatcher, Logger: logger, Metrics: metric.New(),
 	})
-	pinger := intake.NewPinger(desk, intake.Self{Node: e.address, Address: e.address, Strength: strength}, e.dispatcher)
+	pinger := intake.NewPinger(desk, intake.Self{Process: e.address, Address: e.address, Strength: strength}, e.dispatcher)
 	e.dispatcher.Register(mux)
 	pinger.Register(mux)
 	intake.Register(mux, e.client, health)
@@ -150,7 +150,7 @@
 	pool := f.newPool("", mux)
 	draw := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // a fixed seed
 	r := runner.New(runner.Config{
-		VM: fmt.Sprintf("vm-%04d", i), ClosedWithin: closedWithin, LongestHold: longestHold, Worker: a.worker,
+		VM: fmt.Sprintf("vm-%04d", i), ClosureDelay: closedWithin, MaxRenewal: longestHold, Worker: a.worker,
 		Store: relay.New(a.client, a.client.health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: f.network.dial,
 		Uptime: &boottimetest.Clock{}, Random: draw.Float64, Logger: logging.Discard(), Metrics: metric.New(),
 	})
--- a/internal/fleettest/scale_test.go
+++ b/internal/fleettest/scale_test.go
@@ -37,7 +37,7 @@
 			time.Sleep(time.Minute)
 		}()
 		// The revisions of the platform's store begin above 0.
-		assert.NilError(t, f.store.Operate(kv.Txn{}))
+		assert.NilError(t, f.store.CommitAsOperator(kv.Txn{}))
 		test(t, f)
 	})
 }
@@ -74,7 +74,7 @@
 		lost := f.leader()
 		before, entriesBefore := f.agentCalls(), f.entryCalls()
 		lost.end()
-		expire := time.AfterFunc(leaseTime, f.store.Revoke)
+		expire := time.AfterFunc(leaseTime, f.store.RemoveLeasedKeys)
 		half := f.await(t, 2, s.agents/2, toFindHalf)
 		expire.Stop()
 		all := half + f.await(t, 2, s.agents, toFind-half)
--- a/internal/fleettest/store_test.go
+++ b/internal/fleettest/store_test.go
@@ -88,7 +88,7 @@
 	if err == nil {
 		err = call()
 	}
-	c.health.Note(asked, err)
+	c.health.Record(asked, err)
 	return err
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -11,14 +11,14 @@
 
 // timing lets each of many processes follow a key with few calls beside the store's rate. A leader whose watch is cut learns of a configuration by the
 // next attempt, and entries that do not reach the store by the leader.
-var timing = Timing{Wait: 1500 * time.Millisecond, Vouched: 10 * time.Second, Retry: 400 * time.Millisecond}
+var timing = Timing{Wait: 1500 * time.Millisecond, ConfirmedWait: 10 * time.Second, MaxRetryDelay: 400 * time.Millisecond}
 
 // vouchedFor is how long after it was vouched for a value is known to be the newest.
 const vouchedFor = time.Second
 
 // Value is a decoded value and the revision at which it was written, 0 where the key is absent.
 type Value[T any] struct {
-	Held     T
+	Decoded  T
 	Revision kv.Revision
 }
 
@@ -62,8 +62,8 @@
 	return f.verified
 }
 
-// Vouch records that another process that follows the key has confirmed the value just now, so that the store is asked less often.
-func (f *Follower[T]) Vouch() {
+// Confirm records that another process that follows the key has confirmed the value just now, so that the store is asked less often.
+func (f *Follower[T]) Confirm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.vouched = time.Now()
@@ -125,7 +125,7 @@
 		f.clear(at)
 		return nil
 	}
-	f.set(Value[T]{Held: held, Revision: item.Revision()})
+	f.set(Value[T]{Decoded: held, Revision: item.Revision()})
 	return nil
 }
 
@@ -145,7 +145,7 @@
 // Run follows the key until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
-	NewPrefix(f.store, f.key, timing, f.takeChange, f.logger).VouchedBy(f.isVouched).Run(ctx, 0)
+	NewPrefixFollower(f.store, f.key, timing, f.takeChange, f.logger).WithConfirmed(f.isVouched).Run(ctx, 0)
 }
 
 // takeChange takes what a call told of the key, among others that it is the beginning of.
@@ -157,15 +157,15 @@
 		}
 		found = true
 		item := e.Item()
-		if e.Gone() {
+		if e.Removed() {
 			item = kv.NewItem(f.key, nil, 0)
 		}
-		if err := f.take(item, e.Item().Revision(), c.Asked); err != nil {
+		if err := f.take(item, e.Item().Revision(), c.RequestedAt); err != nil {
 			return err
 		}
 	}
-	if found || !c.Whole {
+	if found || !c.Snapshot {
 		return nil
 	}
-	return f.take(kv.NewItem(f.key, nil, 0), c.At, c.Asked)
+	return f.take(kv.NewItem(f.key, nil, 0), c.Revision, c.RequestedAt)
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -37,13 +37,13 @@
 		put(t, store, "key", "one")
 		synctest.Wait()
 		value, _ = f.Value()
-		assert.Equal(t, value.Held, "one")
+		assert.Equal(t, value.Decoded, "one")
 
-		store.Forget()
+		store.DropHistory()
 		put(t, store, "key", "two")
 		time.Sleep(time.Second)
 		value, _ = f.Value()
-		assert.Equal(t, value.Held, "two")
+		assert.Equal(t, value.Decoded, "two")
 
 		_, err := store.Commit(context.Background(), kv.Txn{Removes: []string{"key"}})
 		assert.NilError(t, err)
@@ -58,17 +58,17 @@
 
 func TestNeverGoesBack(t *testing.T) {
 	f := New(kvtest.New(), "key", text, logging.Discard())
-	f.Offer(Value[string]{Held: "new", Revision: 9})
-	f.Offer(Value[string]{Held: "old", Revision: 4})
+	f.Offer(Value[string]{Decoded: "new", Revision: 9})
+	f.Offer(Value[string]{Decoded: "old", Revision: 4})
 	value, known := f.Value()
 	assert.Assert(t, known)
-	assert.Equal(t, value.Held, "new")
+	assert.Equal(t, value.Decoded, "new")
 }
 
 func TestChangedIsClosedByAChange(t *testing.T) {
 	f := New(kvtest.New(), "key", text, logging.Discard())
 	changed := f.Changed()
-	f.Offer(Value[string]{Held: "new", Revision: 1})
+	f.Offer(Value[string]{Decoded: "new", Revision: 1})
 	select {
 	case <-changed:
 	default:
@@ -109,7 +109,7 @@
 		put(t, store.Store, "key", "two")
 		time.Sleep(time.Second)
 		value, _ := f.Value()
-		assert.Equal(t, value.Held, "two")
+		assert.Equal(t, value.Decoded, "two")
 		cancel()
 		<-f.Done()
 		assert.Equal(t, store.ranges, 1)
@@ -129,19 +129,19 @@
 			before, end := store.watches, time.Now().Add(within)
 			for time.Now().Before(end) {
 				if vouched {
-					f.Vouch()
+					f.Confirm()
 				}
 				time.Sleep(vouchedFor / 2)
 			}
 			return store.watches - before
 		}
 		watches(timing.Wait, true)
-		assert.Assert(t, watches(4*timing.Vouched, true) <= 4)
+		assert.Assert(t, watches(4*timing.ConfirmedWait, true) <= 4)
 		put(t, store.Store, "key", "one")
 		synctest.Wait()
 		value, _ := f.Value()
-		assert.Equal(t, value.Held, "one", "a change is still seen at once")
-		watches(timing.Vouched, false)
+		assert.Equal(t, value.Decoded, "one", "a change is still seen at once")
+		watches(timing.ConfirmedWait, false)
 		assert.Assert(t, watches(4*timing.Wait, false) >= 3, "nobody vouches any more")
 		cancel()
 		<-f.Done()
@@ -189,7 +189,7 @@
 		put(t, store.Store, "key", "two")
 		time.Sleep(deafFor + unsettledWait + retryFirst)
 		value, _ := f.Value()
-		assert.Equal(t, value.Held, "two")
+		assert.Equal(t, value.Decoded, "two")
 		cancel()
 		<-f.Done()
 	})
--- a/internal/follow/prefix.go
+++ b/internal/follow/prefix.go
@@ -19,26 +19,26 @@
 type Timing struct {
 	// Wait is how long a watch waits: one that hears nothing more is noticed after it.
 	Wait time.Duration
-	// Vouched is the same while the keys are known by another way as well, 0 for Wait.
-	Vouched time.Duration
-	// Retry is the longest pause after a call that failed. Pauses are drawn, since many processes may follow one prefix.
-	Retry time.Duration
+	// ConfirmedWait is the same while the keys are known by another way as well, 0 for Wait.
+	ConfirmedWait time.Duration
+	// MaxRetryDelay is the longest pause after a call that failed. Pauses are drawn, since many processes may follow one prefix.
+	MaxRetryDelay time.Duration
 }
 
 // Change is what one call told of the keys under a prefix.
 type Change struct {
 	Events []kv.Event
-	// Whole says that Events are all keys there are, and not what changed.
-	Whole bool
-	// At is the revision up to which this holds, Asked when the call was made.
-	At    kv.Revision
-	Asked time.Time
-	// Began is when the call was made by the clock of the prefix, zero where it has none.
-	Began boottime.Instant
+	// Snapshot says that Events are all keys there are, and not what changed.
+	Snapshot bool
+	// Revision is the revision up to which this holds, Asked when the call was made.
+	Revision    kv.Revision
+	RequestedAt time.Time
+	// RequestInstant is when the call was made by the clock of the prefix, zero where it has none.
+	RequestInstant boottime.Instant
 }
 
-// Prefix follows all keys under a prefix of the store.
-type Prefix struct {
+// PrefixFollower follows all keys under a prefix of the store.
+type PrefixFollower struct {
 	store  kv.Store
 	prefix string
 	timing Timing
@@ -51,27 +51,27 @@
 	vouched func() bool
 }
 
-// NewPrefix returns what hands all changes under a prefix to take; what take fails for is read again.
-func NewPrefix(store kv.Store, prefix string, timing Timing, take func(Change) error, logger logging.Logger) *Prefix {
-	return &Prefix{store: store, prefix: prefix, timing: timing, take: take, logger: logger}
+// NewPrefixFollower returns what hands all changes under a prefix to take; what take fails for is read again.
+func NewPrefixFollower(store kv.Store, prefix string, timing Timing, take func(Change) error, logger logging.Logger) *PrefixFollower {
+	return &PrefixFollower{store: store, prefix: prefix, timing: timing, take: take, logger: logger}
 }
 
-// Timed sets the clock by which changes tell when they were asked for, and returns the prefix.
-func (p *Prefix) Timed(clock boottime.Clock) *Prefix {
+// WithClock sets the clock by which changes tell when they were asked for, and returns the prefix.
+func (p *PrefixFollower) WithClock(clock boottime.Clock) *PrefixFollower {
 	p.clock = clock
 	return p
 }
 
-// VouchedBy sets what tells whether the keys are known by another way as well, and returns the prefix.
-func (p *Prefix) VouchedBy(vouched func() bool) *Prefix {
+// WithConfirmed sets what tells whether the keys are known by another way as well, and returns the prefix.
+func (p *PrefixFollower) WithConfirmed(vouched func() bool) *PrefixFollower {
 	p.vouched = vouched
 	return p
 }
 
 // wait returns how long the next watch waits.
-func (p *Prefix) wait() time.Duration {
-	if p.timing.Vouched > 0 && p.vouched != nil && p.vouched() {
-		return p.timing.Vouched
+func (p *PrefixFollower) wait() time.Duration {
+	if p.timing.ConfirmedWait > 0 && p.vouched != nil && p.vouched() {
+		return p.timing.ConfirmedWait
 	}
 	if !p.failed.IsZero() && time.Since(p.failed) < unsettledFor {
 		return min(p.timing.Wait, unsettledWait)
@@ -87,8 +87,8 @@
 )
 
 // Run follows the prefix after a revision until ctx ends; revision 0 stands for none that is known.
-func (p *Prefix) Run(ctx context.Context, after kv.Revision) {
-	pause := wait.NewBackoff(min(retryFirst, p.timing.Retry), p.timing.Retry, rand.Float64)
+func (p *PrefixFollower) Run(ctx context.Context, after kv.Revision) {
+	pause := wait.NewBackoff(min(retryFirst, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
 	for ctx.Err() == nil {
 		next, err := p.Next(ctx, after)
 		if err == nil {
@@ -111,28 +111,28 @@
 }
 
 // Next reads all keys where no revision is known, else waits for the next change, and returns the revision to go on from.
-func (p *Prefix) Next(ctx context.Context, after kv.Revision) (kv.Revision, error) {
-	change := Change{Whole: after == 0, Asked: time.Now()}
+func (p *PrefixFollower) Next(ctx context.Context, after kv.Revision) (kv.Revision, error) {
+	change := Change{Snapshot: after == 0, RequestedAt: time.Now()}
 	if p.clock != nil {
-		change.Began = p.clock.Now()
+		change.RequestInstant = p.clock.Now()
 	}
 	var err error
-	if change.Whole {
-		change.Events, change.At, err = p.all(ctx)
+	if change.Snapshot {
+		change.Events, change.Revision, err = p.all(ctx)
 	} else {
-		change.Events, change.At, err = p.store.Watch(ctx, p.prefix, after, p.wait())
+		change.Events, change.Revision, err = p.store.Watch(ctx, p.prefix, after, p.wait())
 	}
-	if err == nil && change.At == 0 {
+	if err == nil && change.Revision == 0 {
 		// A watch cannot go on from there.
 		err = fault.New(fault.Unavailable, "the store named no revision")
 	}
 	if err != nil {
 		return 0, err
 	}
-	return change.At, p.take(change)
+	return change.Revision, p.take(change)
 }
 
-func (p *Prefix) all(ctx context.Context) ([]kv.Event, kv.Revision, error) {
+func (p *PrefixFollower) all(ctx context.Context) ([]kv.Event, kv.Revision, error) {
 	items, at, err := p.store.Range(ctx, p.prefix)
 	events := make([]kv.Event, 0, len(items))
 	for _, i := range items {
--- a/internal/gate/exchanges.go
+++ b/internal/gate/exchanges.go
@@ -7,8 +7,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Remember is how long an agent remembers the requests that may not be repeated, in time.
-const Remember = 10 * time.Minute
+// Retention is how long an agent remembers the requests that may not be repeated, in time.
+const Retention = 10 * time.Minute
 
 const maxExchanges = 32768
 
@@ -62,7 +62,7 @@
 func (x *exchanges) forget(now time.Time) {
 	for len(x.order) > 0 {
 		oldest, ok := x.known[x.order[0]]
-		if ok && now.Sub(oldest.at) < Remember {
+		if ok && now.Sub(oldest.at) < Retention {
 			return
 		}
 		delete(x.known, x.order[0])
--- a/internal/gate/exchanges_test.go
+++ b/internal/gate/exchanges_test.go
@@ -59,6 +59,6 @@
 func TestExchangesAreForgotten(t *testing.T) {
 	x := newExchanges()
 	assert.NilError(t, x.letIn("a", "", 0, 0, start))
-	assert.NilError(t, x.letIn("b", "", 0, 0, start.Add(Remember)))
+	assert.NilError(t, x.letIn("b", "", 0, 0, start.Add(Retention)))
 	assert.Equal(t, len(x.known), 1)
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -82,8 +82,8 @@
 // Leave makes the gate refuse all new requests.
 func (g *Gate) Leave() { g.leaving.Store(true) }
 
-// Stay makes the gate admit requests again.
-func (g *Gate) Stay() { g.leaving.Store(false) }
+// Resume makes the gate admit requests again.
+func (g *Gate) Resume() { g.leaving.Store(false) }
 
 // Open returns how many requests the gate has in hand.
 func (g *Gate) Open() int64 { return g.open.Load() }
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -29,7 +29,7 @@
 		g.open.Add(1)
 		defer g.open.Add(-1)
 		g.handleRequest(ctx)
-	case control.PathSettle:
+	case control.PathOutcome:
 		g.handleSettle(ctx)
 	case control.PathSeal:
 		g.handleSeal(ctx)
@@ -180,7 +180,7 @@
 
 func (g *Gate) handleSettle(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(control.HeaderExchange))
-	answer := control.SettleAnswer{Ran: string(fault.RanUnknown)}
+	answer := control.OutcomeAnswer{Ran: string(fault.RanUnknown)}
 	if string(ctx.Request.Header.Peek(control.HeaderBoot)) == g.Boot && g.exchanges.settle(id, time.Now()) {
 		answer.Ran = string(fault.RanNo)
 	}
@@ -193,7 +193,7 @@
 		g.refuse(ctx, fault.New(fault.BadInput, "the slots cannot be read"))
 		return
 	}
-	answer := control.SealAnswer{Boot: g.Boot, UptimeMillis: time.Since(g.started).Milliseconds(), Fresh: g.fresh.Load()}
+	answer := control.SealAnswer{Boot: g.Boot, UptimeMillis: time.Since(g.started).Milliseconds(), NoEarlierStart: g.fresh.Load()}
 	for i, slot := range seal.Slots {
 		answer.Keys = append(answer.Keys, g.exchanges.seal(slot, seal.Epochs[i])...)
 	}
--- a/internal/gate/replica.go
+++ b/internal/gate/replica.go
@@ -143,14 +143,14 @@
 // Service returns the service.
 func (m Measurement) Service() string { return m.service }
 
-// Ratio returns the latency of 99 of 100 requests as a share of the target.
-func (m Measurement) Ratio() float64 { return m.ratio }
+// LatencyRatio returns the latency of 99 of 100 requests as a share of the target.
+func (m Measurement) LatencyRatio() float64 { return m.ratio }
 
 // Load returns the mean share, 0 to 1, of the slots in use.
 func (m Measurement) Load() float64 { return m.load }
 
-// Run returns how long requests ran at the endpoint on average, without their wait.
-func (m Measurement) Run() time.Duration { return m.run }
+// MeanRunTime returns how long requests ran at the endpoint on average, without their wait.
+func (m Measurement) MeanRunTime() time.Duration { return m.run }
 
 // Samples returns how many requests were measured.
 func (m Measurement) Samples() int64 { return m.samples }
--- a/internal/hall/closures.go
+++ b/internal/hall/closures.go
@@ -18,7 +18,7 @@
 // leader follows closures, so this costs two and a half reads a second for the whole fleet.
 func timingOf(staleAfter time.Duration) follow.Timing {
 	const waits, retries = 5, 20
-	return follow.Timing{Wait: staleAfter / waits, Retry: staleAfter / retries}
+	return follow.Timing{Wait: staleAfter / waits, MaxRetryDelay: staleAfter / retries}
 }
 
 // staleShare is the part of the time in which a closure must be in force after which the closures count as stale. An
@@ -78,14 +78,14 @@
 	c.follower(changed).Run(ctx, after)
 }
 
-func (c *Closures) follower(changed func()) *follow.Prefix {
+func (c *Closures) follower(changed func()) *follow.PrefixFollower {
 	handle := func(change follow.Change) error {
 		if c.apply(change) {
 			changed()
 		}
 		return nil
 	}
-	return follow.NewPrefix(c.store, c.prefix, timingOf(c.staleAfter), handle, c.logger).Timed(c.clock)
+	return follow.NewPrefixFollower(c.store, c.prefix, timingOf(c.staleAfter), handle, c.logger).WithClock(c.clock)
 }
 
 // Status returns whether a hall is closed.
@@ -115,12 +115,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// The result of a call that a newer one has overtaken is outdated.
-	if change.At < c.revision {
+	if change.Revision < c.revision {
 		return false
 	}
-	c.revision = change.At
-	if change.Began.After(c.confirmedAt) {
-		c.confirmedAt = change.Began
+	c.revision = change.Revision
+	if change.RequestInstant.After(c.confirmedAt) {
+		c.confirmedAt = change.RequestInstant
 	}
 	present := make(map[string]bool, len(change.Events))
 	changed := false
@@ -130,10 +130,10 @@
 			continue
 		}
 		present[hall] = true
-		changed = c.set(hall, !e.Gone()) || changed
+		changed = c.set(hall, !e.Removed()) || changed
 	}
 	for hall := range c.closedSince {
-		if change.Whole && !present[hall] {
+		if change.Snapshot && !present[hall] {
 			changed = c.set(hall, false) || changed
 		}
 	}
--- a/internal/hall/closures_test.go
+++ b/internal/hall/closures_test.go
@@ -64,7 +64,7 @@
 		assert.Equal(t, changes, 2)
 
 		// Closed and reopened within a compacted part of the history.
-		store.Forget()
+		store.DropHistory()
 		commit(t, store, openTxn("south"))
 		commit(t, store, closeTxn("east"))
 		time.Sleep(time.Second)
@@ -118,8 +118,8 @@
 func TestOlderChangeIsIgnored(t *testing.T) {
 	c := New(kvtest.New(), testPrefix, testWithin, &boottimetest.Clock{}, logging.Discard())
 	closed := kv.NewEvent(kv.NewItem(testPrefix+"north", nil, 7), false)
-	assert.Assert(t, c.apply(follow.Change{Events: []kv.Event{closed}, Whole: true, At: 7, Asked: time.Now()}))
-	assert.Assert(t, !c.apply(follow.Change{Whole: true, At: 6, Asked: time.Now()}))
+	assert.Assert(t, c.apply(follow.Change{Events: []kv.Event{closed}, Snapshot: true, Revision: 7, RequestedAt: time.Now()}))
+	assert.Assert(t, !c.apply(follow.Change{Snapshot: true, Revision: 6, RequestedAt: time.Now()}))
 	assert.Equal(t, c.Status("north"), Status{Closed: true, Revision: 7})
 }
 
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -60,14 +60,14 @@
 
 func TestDoubtAndKnownKeysAfterADeath(t *testing.T) {
 	k := NewKeys()
-	k.Own(1, 2, []string{"ran"}, start.Add(Remember), start)
+	k.Own(1, 2, []string{"ran"}, start.Add(Retention), start)
 	_, err := k.Begin("new", 1, start.Add(time.Minute))
 	assert.Equal(t, fault.KindOf(err), fault.OutcomeUnknown)
 	known, err := k.Begin("ran", 1, start.Add(time.Minute))
 	assert.NilError(t, err)
 	_, err = known.Result()
 	assert.Equal(t, fault.KindOf(err), fault.OutcomeUnknown)
-	fresh, err := k.Begin("new", 1, start.Add(Remember+time.Minute))
+	fresh, err := k.Begin("new", 1, start.Add(Retention+time.Minute))
 	assert.NilError(t, err)
 	assert.Assert(t, fresh.IsFirst())
 	_, err = k.Begin("elsewhere", 2, start)
@@ -117,7 +117,7 @@
 func (w *keyWorld) take() {
 	owner := w.owners.Owner(0)
 	var ran []string
-	if owner.InDoubt() {
+	if owner.PreviousFailed() {
 		w.sealed = max(w.sealed, owner.Epoch())
 		ran = append(ran, w.letIn...)
 	}
@@ -140,7 +140,7 @@
 	case 5:
 		if len(w.owners.Members()) > 1 {
 			w.alive[entry] = false
-			w.owners = w.owners.Bury(entry)
+			w.owners = w.owners.RemoveFailed(entry)
 			w.take()
 		}
 	case 6:
@@ -156,8 +156,8 @@
 		return
 	}
 	w.keys[from].Close(0)
-	w.keys[to].Take(0, w.keys[from].Hand(0), w.now)
-	next, err := w.owners.Hand(0, from, to)
+	w.keys[to].Import(0, w.keys[from].Export(0), w.now)
+	next, err := w.owners.Transfer(0, from, to)
 	if err != nil {
 		w.t.Fatalf("%v", err)
 	}
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -7,8 +7,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Remember is how long an answer is kept for callers that ask again.
-const Remember = 10 * time.Minute
+// Retention is how long an answer is kept for callers that ask again.
+const Retention = 10 * time.Minute
 
 const (
 	maxKeys       = 32768
@@ -135,7 +135,7 @@
 func (k *Keys) forget(now time.Time) {
 	for len(k.order) > 0 {
 		c, ok := k.calls[k.order[0]]
-		if ok && (now.Sub(c.at) < Remember || !isClosed(c.done)) {
+		if ok && (now.Sub(c.at) < Retention || !isClosed(c.done)) {
 			break
 		}
 		if ok {
--- a/internal/idempotency/owners.go
+++ b/internal/idempotency/owners.go
@@ -11,12 +11,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Slots is the number of slots that keys are divided into.
-const Slots = 32
+// SlotCount is the number of slots that keys are divided into.
+const SlotCount = 32
 
 // SlotOf returns the slot of a service's key.
 func SlotOf(service, key string) int {
-	return int(xxhash.Sum64String(service+"\x00"+key) % Slots)
+	return int(xxhash.Sum64String(service+"\x00"+key) % SlotCount)
 }
 
 // Owner is who owns a slot, and whether the last owner handed it over or died.
@@ -32,17 +32,17 @@
 // Epoch returns how often the slot has changed its owner.
 func (o Owner) Epoch() uint64 { return o.epoch }
 
-// InDoubt reports whether the owner before died without a handover.
-func (o Owner) InDoubt() bool { return o.doubt }
+// PreviousFailed reports whether the owner before died without a handover.
+func (o Owner) PreviousFailed() bool { return o.doubt }
 
 // Owners is the document that says which entry owns each slot.
 type Owners struct {
 	members map[string]string
-	slots   [Slots]Owner
+	slots   [SlotCount]Owner
 }
 
-// Member returns the address of an entry's peers' listener.
-func (o Owners) Member(entry string) (string, bool) {
+// Address returns the address of an entry's peers' listener.
+func (o Owners) Address(entry string) (string, bool) {
 	address, ok := o.members[entry]
 	return address, ok
 }
@@ -53,8 +53,8 @@
 // Owner returns the owner of a slot.
 func (o Owners) Owner(slot int) Owner { return o.slots[slot] }
 
-// Wanted returns which entry is to own a slot, the same for all who ask.
-func (o Owners) Wanted(slot int) string {
+// Preferred returns which entry is to own a slot, the same for all who ask.
+func (o Owners) Preferred(slot int) string {
 	best, highest := "", uint64(0)
 	for _, entry := range o.Members() {
 		if score := xxhash.Sum64String(entry + "/" + strconv.Itoa(slot)); best == "" || score > highest {
@@ -70,14 +70,14 @@
 	next.members[entry] = address
 	for i := range next.slots {
 		if next.slots[i].entry == "" {
-			next.slots[i] = Owner{entry: next.Wanted(i), epoch: 1}
+			next.slots[i] = Owner{entry: next.Preferred(i), epoch: 1}
 		}
 	}
 	return next
 }
 
-// Hand moves a slot from its owner to another entry.
-func (o Owners) Hand(slot int, from, to string) (Owners, error) {
+// Transfer moves a slot from its owner to another entry.
+func (o Owners) Transfer(slot int, from, to string) (Owners, error) {
 	held := o.slots[slot]
 	if held.entry != from {
 		return o, fault.New(fault.Conflict, "slot %d is owned by %s", slot, held.entry)
@@ -94,15 +94,15 @@
 	return next
 }
 
-// Bury removes an entry that died; its slots go to others, in doubt.
-func (o Owners) Bury(entry string) Owners {
+// RemoveFailed removes an entry that died; its slots go to others, in doubt.
+func (o Owners) RemoveFailed(entry string) Owners {
 	next := o.clone()
 	delete(next.members, entry)
 	for i, held := range next.slots {
 		if held.entry != entry {
 			continue
 		}
-		next.slots[i] = Owner{entry: next.Wanted(i), epoch: held.epoch + 1, doubt: true}
+		next.slots[i] = Owner{entry: next.Preferred(i), epoch: held.epoch + 1, doubt: true}
 	}
 	return next
 }
@@ -148,8 +148,8 @@
 	if err := cbor.Unmarshal(value, &wire); err != nil {
 		return Owners{}, fault.Wrap(err, fault.Internal, "the stored owners of keys cannot be read")
 	}
-	if len(wire.Slots) != Slots {
-		return Owners{}, fault.New(fault.Internal, "the stored owners of keys have %d slots, not %d", len(wire.Slots), Slots)
+	if len(wire.Slots) != SlotCount {
+		return Owners{}, fault.New(fault.Internal, "the stored owners of keys have %d slots, not %d", len(wire.Slots), SlotCount)
 	}
 	o := Owners{members: wire.Members}
 	for i, s := range wire.Slots {
--- a/internal/idempotency/slots.go
+++ b/internal/idempotency/slots.go
@@ -81,26 +81,26 @@
 	}
 }
 
-// Kept is a key that ran, as it is handed to the next owner; a nil answer is one that is not kept.
-type Kept struct {
+// KeyResult is a key that ran, as it is handed to the next owner; a nil answer is one that is not kept.
+type KeyResult struct {
 	key    string
 	answer *Answer
 }
 
-// NewKept returns a key that ran with its answer, nil for one that is not kept.
-func NewKept(key string, answer *Answer) Kept { return Kept{key: key, answer: answer} }
+// NewKeyResult returns a key that ran with its answer, nil for one that is not kept.
+func NewKeyResult(key string, answer *Answer) KeyResult { return KeyResult{key: key, answer: answer} }
 
 // Key returns the caller's key.
-func (k Kept) Key() string { return k.key }
+func (k KeyResult) Key() string { return k.key }
 
 // Answer returns the answer, nil for one that is not kept.
-func (k Kept) Answer() *Answer { return k.answer }
+func (k KeyResult) Answer() *Answer { return k.answer }
 
-// Hand returns the keys of a closed slot that ran; small answers go along.
-func (k *Keys) Hand(slot int) []Kept {
+// Export returns the keys of a closed slot that ran; small answers go along.
+func (k *Keys) Export(slot int) []KeyResult {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var kept []Kept
+	var kept []KeyResult
 	for key, c := range k.calls {
 		if c.slot != slot {
 			continue
@@ -109,13 +109,13 @@
 		if answer != nil && len(answer.body) > maxKeptAnswer {
 			answer = nil
 		}
-		kept = append(kept, NewKept(key, answer))
+		kept = append(kept, NewKeyResult(key, answer))
 	}
 	return kept
 }
 
-// Take keeps what an earlier owner of a slot handed over, before the slot is owned.
-func (k *Keys) Take(slot int, handed []Kept, now time.Time) {
+// Import keeps what an earlier owner of a slot handed over, before the slot is owned.
+func (k *Keys) Import(slot int, handed []KeyResult, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, h := range handed {
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -36,21 +36,21 @@
 	Health   *kv.Health
 	Pool     *relay.Pool
 	Policies *Policies
-	Lead     *follow.Follower[record.Leader]
-	// Leader tells what this entry has committed where it leads itself.
-	Leader  Leader
-	Logger  logging.Logger
-	Metrics *metric.Registry
+	Leader   *follow.Follower[record.Leader]
+	// Dispatcher tells what this entry has committed where it leads itself.
+	Dispatcher LocalDispatcher
+	Logger     logging.Logger
+	Metrics    *metric.Registry
 }
 
-// Leader is the part of an entry that may lead.
-type Leader interface {
+// LocalDispatcher is the part of an entry that may lead.
+type LocalDispatcher interface {
 	// JobState returns the committed state of a job, false where this entry does not lead or cannot tell.
 	JobState(id job.ID) (job.State, bool)
 }
 
-// Desk serves callers.
-type Desk struct {
+// Server serves callers.
+type Server struct {
 	config Config
 	logger logging.Logger
 	doubts *doubts
@@ -59,12 +59,12 @@
 }
 
 // New returns a desk.
-func New(config Config) *Desk {
-	return &Desk{config: config, logger: config.Logger, doubts: newDoubts()}
+func New(config Config) *Server {
+	return &Server{config: config, logger: config.Logger, doubts: newDoubts()}
 }
 
 // route finds the queue that an address names, and the rest of the path.
-func (d *Desk) route(ctx context.Context, a Address) (*policy.Route, string, error) {
+func (d *Server) route(ctx context.Context, a Address) (*policy.Route, string, error) {
 	current := d.config.Policies.Newest()
 	if current == nil {
 		return nil, "", fault.New(fault.Unavailable, "there is no configuration yet").WithRetryAfter(retryAfter)
@@ -81,7 +81,7 @@
 }
 
 // jobAt finds the queue and the job that an address names.
-func (d *Desk) jobAt(ctx context.Context, a Address) (*policy.Route, job.ID, error) {
+func (d *Server) jobAt(ctx context.Context, a Address) (*policy.Route, job.ID, error) {
 	route, rest, err := d.route(ctx, a)
 	if err != nil {
 		return nil, "", err
@@ -94,7 +94,7 @@
 }
 
 // Submit takes a job; it is kept once the answer is without an error.
-func (d *Desk) Submit(ctx context.Context, a Address, size int, decode func() (job.Spec, error)) error {
+func (d *Server) Submit(ctx context.Context, a Address, size int, decode func() (job.Spec, error)) error {
 	began := time.Now()
 	route, id, err := d.jobAt(ctx, a)
 	if err != nil {
@@ -124,13 +124,13 @@
 }
 
 // count notes how a call ended and how long it took in milliseconds.
-func (d *Desk) count(call string, began time.Time, err error) {
+func (d *Server) count(call string, began time.Time, err error) {
 	d.config.Metrics.Counter("jobs." + call + "." + outcome(err)).Inc(1)
 	d.config.Metrics.Histogram("jobs." + call + "_ms").Update(time.Since(began).Milliseconds())
 }
 
 // write makes a change whose condition fails only if it was made before.
-func (d *Desk) write(ctx context.Context, change kv.Txn) error {
+func (d *Server) write(ctx context.Context, change kv.Txn) error {
 	err := d.config.Store.Commit(ctx, change)
 	if fault.Is(err, fault.Conflict) {
 		return nil
@@ -139,7 +139,7 @@
 }
 
 // refusal tells the caller when to come back.
-func (d *Desk) refusal(err error) error {
+func (d *Server) refusal(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -158,7 +158,7 @@
 }
 
 // Cancel cancels a job.
-func (d *Desk) Cancel(ctx context.Context, a Address) error {
+func (d *Server) Cancel(ctx context.Context, a Address) error {
 	began := time.Now()
 	_, id, err := d.jobAt(ctx, a)
 	if err != nil {
@@ -181,7 +181,7 @@
 }
 
 // State returns the state of a job as it is committed.
-func (d *Desk) State(ctx context.Context, a Address) (job.State, error) {
+func (d *Server) State(ctx context.Context, a Address) (job.State, error) {
 	_, id, err := d.jobAt(ctx, a)
 	if err != nil {
 		return job.Queued, err
@@ -196,26 +196,26 @@
 const statePatience = 400 * time.Millisecond
 
 // stateByLeader returns the state of a job as the leader has committed it, false where the leader cannot tell or has not answered this entry of late.
-func (d *Desk) stateByLeader(ctx context.Context, id job.ID) (job.State, bool) {
-	if state, known := d.config.Leader.JobState(id); known {
+func (d *Server) stateByLeader(ctx context.Context, id job.ID) (job.State, bool) {
+	if state, known := d.config.Dispatcher.JobState(id); known {
 		return state, true
 	}
-	lead, known := d.config.Lead.Value()
+	lead, known := d.config.Leader.Value()
 	if !known || lead.Revision == 0 || !d.leaderAnswers.Load() {
 		return job.Queued, false
 	}
 	bounded, cancel := context.WithTimeout(ctx, statePatience)
 	defer cancel()
-	peer, err := d.config.Pool.Peer(bounded, lead.Held.Address)
+	peer, err := d.config.Pool.Peer(bounded, lead.Decoded.Address)
 	if err != nil {
 		return job.Queued, false
 	}
-	answer, err := rpc.Call[link.JobState, link.JobStateAnswer](bounded, peer, link.MethodState, link.JobState{Job: string(id)})
+	answer, err := rpc.Call[link.JobStateRequest, link.JobStateAnswer](bounded, peer, link.MethodState, link.JobStateRequest{Job: string(id)})
 	return job.State(answer.State), err == nil && answer.Known
 }
 
 // stateByStore returns the state of a job as the store has it.
-func (d *Desk) stateByStore(ctx context.Context, id job.ID) (job.State, error) {
+func (d *Server) stateByStore(ctx context.Context, id job.ID) (job.State, error) {
 	progress, err := d.config.Store.Get(ctx, record.ProgressKey(id))
 	if err != nil {
 		return job.Queued, d.refusal(err)
@@ -233,8 +233,8 @@
 	return job.Queued, nil
 }
 
-// NamesQueue reports whether the path names a queue and no job.
-func (d *Desk) NamesQueue(a Address) bool {
+// IsQueue reports whether the path names a queue and no job.
+func (d *Server) IsQueue(a Address) bool {
 	current := d.config.Policies.Newest()
 	if current == nil {
 		return false
@@ -250,7 +250,7 @@
 )
 
 // Waiting returns how many jobs of a queue have not begun, as the lead knows.
-func (d *Desk) Waiting(ctx context.Context, a Address) (int, error) {
+func (d *Server) Waiting(ctx context.Context, a Address) (int, error) {
 	route, _, err := d.route(ctx, a)
 	if err != nil {
 		return 0, err
@@ -268,20 +268,20 @@
 	}
 }
 
-func (d *Desk) askWaiting(ctx context.Context, queue string) (int, error) {
-	lead, known := d.config.Lead.Value()
+func (d *Server) askWaiting(ctx context.Context, queue string) (int, error) {
+	lead, known := d.config.Leader.Value()
 	if !known || lead.Revision == 0 {
 		return 0, fault.New(fault.Unavailable, "nobody leads")
 	}
 	bounded, cancel := context.WithTimeout(ctx, waitingPatience)
 	defer cancel()
-	peer, err := d.config.Pool.Peer(bounded, lead.Held.Address)
+	peer, err := d.config.Pool.Peer(bounded, lead.Decoded.Address)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := rpc.Call[link.Waiting, link.WaitingAnswer](bounded, peer, link.MethodWaiting, link.Waiting{Queue: queue})
+	answer, err := rpc.Call[link.WaitingRequest, link.WaitingAnswer](bounded, peer, link.MethodWaiting, link.WaitingRequest{Queue: queue})
 	if err != nil && !fault.Is(err, fault.Stale) {
-		d.config.Pool.Drop(lead.Held.Address)
+		d.config.Pool.Drop(lead.Decoded.Address)
 	}
 	return answer.Count, err
 }
--- a/internal/intake/leader.go
+++ b/internal/intake/leader.go
@@ -18,26 +18,26 @@
 )
 
 // leader answers an agent who leads, by what this entry follows anyway: the store is not asked by each agent of a fleet.
-func (p *Pinger) leader(_ context.Context, _ *rpc.Peer, q link.Leader) (link.LeaderAnswer, error) {
+func (p *Pinger) leader(_ context.Context, _ *rpc.Peer, q link.LeaderRequest) (link.LeaderAnswer, error) {
 	hold := leaderHold
 	if q.AtOnce {
 		hold = 0
 	}
 	held := time.NewTimer(hold)
 	defer held.Stop()
-	lead := p.desk.config.Lead
+	lead := p.desk.config.Leader
 	for {
 		changed := lead.Changed()
 		value, known := lead.Value()
 		leads := known && value.Revision != 0
-		if leads && value.Held.Epoch > q.After {
-			return p.leaderAnswer(value.Held), nil
+		if leads && value.Decoded.Epoch > q.After {
+			return p.leaderAnswer(value.Decoded), nil
 		}
 		select {
 		case <-changed:
 		case <-held.C:
 			if leads {
-				return p.leaderAnswer(value.Held), nil
+				return p.leaderAnswer(value.Decoded), nil
 			}
 			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "this entry knows of no leader").WithRetryAfter(leaderRetry)
 		}
@@ -45,5 +45,5 @@
 }
 
 func (p *Pinger) leaderAnswer(lead record.Leader) link.LeaderAnswer {
-	return link.LeaderAnswer{Node: lead.Process, Address: lead.Address, Epoch: lead.Epoch, Agents: int(p.agents.Load())}
+	return link.LeaderAnswer{Process: lead.Process, Address: lead.Address, Epoch: lead.Epoch, Agents: int(p.agents.Load())}
 }
--- a/internal/intake/leader_test.go
+++ b/internal/intake/leader_test.go
@@ -19,7 +19,7 @@
 // knowing returns a pinger of an entry that knows a leader, or none.
 func knowing(epoch uint64) *Pinger {
 	followed := follow.New(kvtest.New(), record.LeaderKey, record.DecodeLeader, logging.Discard())
-	p := &Pinger{desk: &Desk{config: Config{Lead: followed}}}
+	p := &Pinger{desk: &Server{config: Config{Leader: followed}}}
 	if epoch > 0 {
 		p.elect(epoch)
 	}
@@ -28,7 +28,7 @@
 
 // elect lets the entry learn of a leader.
 func (p *Pinger) elect(epoch uint64) {
-	p.desk.config.Lead.Offer(follow.Value[record.Leader]{Held: record.Leader{Process: "n", Address: "a", Epoch: epoch}, Revision: kv.Revision(epoch)})
+	p.desk.config.Leader.Offer(follow.Value[record.Leader]{Decoded: record.Leader{Process: "n", Address: "a", Epoch: epoch}, Revision: kv.Revision(epoch)})
 }
 
 // TestQuestionForALaterLeaderIsHeld until there is one, so that agents neither poll nor read the store.
@@ -36,23 +36,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := knowing(7)
 		p.agents.Store(800)
-		answer, err := p.leader(t.Context(), nil, link.Leader{})
+		answer, err := p.leader(t.Context(), nil, link.LeaderRequest{})
 		assert.NilError(t, err)
-		assert.DeepEqual(t, answer, link.LeaderAnswer{Node: "n", Address: "a", Epoch: 7, Agents: 800})
+		assert.DeepEqual(t, answer, link.LeaderAnswer{Process: "n", Address: "a", Epoch: 7, Agents: 800})
 
 		asked := time.Now()
 		time.AfterFunc(leaderHold/2, func() { p.elect(8) })
-		answer, err = p.leader(t.Context(), nil, link.Leader{After: 7})
+		answer, err = p.leader(t.Context(), nil, link.LeaderRequest{After: 7})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Epoch, uint64(8))
 		assert.Equal(t, time.Since(asked), leaderHold/2)
 
-		answer, err = p.leader(t.Context(), nil, link.Leader{After: 8})
+		answer, err = p.leader(t.Context(), nil, link.LeaderRequest{After: 8})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Epoch, uint64(8), "the same leader leads on")
 
 		asked = time.Now()
-		_, err = p.leader(t.Context(), nil, link.Leader{After: 8, AtOnce: true})
+		_, err = p.leader(t.Context(), nil, link.LeaderRequest{After: 8, AtOnce: true})
 		assert.NilError(t, err)
 		assert.Equal(t, time.Since(asked), time.Duration(0), "an agent that follows a leader in doubt goes on reporting")
 	})
@@ -61,7 +61,7 @@
 func TestEntryWithoutALeaderSaysWhenToReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := time.Now()
-		_, err := knowing(0).leader(t.Context(), nil, link.Leader{})
+		_, err := knowing(0).leader(t.Context(), nil, link.LeaderRequest{})
 		assert.Equal(t, fault.KindOf(err), fault.Unavailable)
 		assert.Equal(t, fault.RetryAfter(err), leaderRetry)
 		assert.Equal(t, time.Since(asked), leaderHold)
--- a/internal/intake/pinger.go
+++ b/internal/intake/pinger.go
@@ -50,7 +50,7 @@
 
 // Pinger tells the lead of an entry, and hears from it of the configuration, of other entries and of the store.
 type Pinger struct {
-	desk      *Desk
+	desk      *Server
 	self      Self
 	successor Successor
 	// told wakes it when the lead says that the store is away, or back.
@@ -70,12 +70,12 @@
 
 // Self is what an entry tells of itself: its name, where others reach it, and the processor share of its VM.
 type Self struct {
-	Node, Address string
-	Strength      float64
+	Process, Address string
+	Strength         float64
 }
 
 // NewPinger returns the pinger of an entry.
-func NewPinger(desk *Desk, self Self, successor Successor) *Pinger {
+func NewPinger(desk *Server, self Self, successor Successor) *Pinger {
 	return &Pinger{desk: desk, self: self, successor: successor, told: make(chan struct{}, 1)}
 }
 
@@ -129,8 +129,8 @@
 // ping tells the lead once, and returns a channel that is closed when the connection to it ends; nil where there is none.
 func (p *Pinger) ping(ctx context.Context) (<-chan struct{}, error) {
 	config := &p.desk.config
-	lead, known := config.Lead.Value()
-	if !known || lead.Revision == 0 || lead.Held.Address == p.self.Address {
+	lead, known := config.Leader.Value()
+	if !known || lead.Revision == 0 || lead.Decoded.Address == p.self.Address {
 		p.desk.leaderAnswers.Store(false)
 		p.back()
 		if known && lead.Revision != 0 && !p.successor.IsLeader() {
@@ -144,32 +144,32 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	peer, err := config.Pool.Peer(bounded, lead.Held.Address)
+	peer, err := config.Pool.Peer(bounded, lead.Decoded.Address)
 	if err != nil {
 		p.desk.leaderAnswers.Store(false)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.successor.SuspectLeader(lead.Held.Epoch, "its VM refuses connections")
+			p.successor.SuspectLeader(lead.Decoded.Epoch, "its VM refuses connections")
 		}
 		return nil, err
 	}
 	own := config.Policies.Offer()
-	answer, err := rpc.Call[link.Ping, link.PingAnswer](bounded, peer, link.MethodPing, p.message(lead.Held.Epoch, own))
+	answer, err := rpc.Call[link.Ping, link.PingAnswer](bounded, peer, link.MethodPing, p.message(lead.Decoded.Epoch, own))
 	p.sendValue = false
 	p.desk.leaderAnswers.Store(err == nil)
 	if err != nil {
 		if !fault.Is(err, fault.Stale) {
-			config.Pool.Drop(lead.Held.Address)
+			config.Pool.Drop(lead.Decoded.Address)
 		}
 		return nil, err
 	}
 	p.agents.Store(int64(answer.Agents))
-	config.Pool.Learn(answer.Entries)
-	p.list, p.listEpoch = answer.List, lead.Held.Epoch
+	config.Pool.Add(answer.Entries)
+	p.list, p.listEpoch = answer.EntriesVersion, lead.Decoded.Epoch
 	config.Policies.Accept(answer.Offer)
 	p.sendValue = answer.Revision != 0 && answer.Revision < own.Revision
 	p.successor.SetRank(answer.Rank)
 	p.vouch(answer)
-	p.heed(ctx, lead.Held.Epoch, answer)
+	p.heed(ctx, lead.Decoded.Epoch, answer)
 	return peer.Done(), nil
 }
 
@@ -179,9 +179,9 @@
 	if answer.Unverified || answer.StoreDown {
 		return
 	}
-	p.desk.config.Lead.Vouch()
+	p.desk.config.Leader.Confirm()
 	if !p.sendValue {
-		p.desk.config.Policies.Vouch()
+		p.desk.config.Policies.Confirm()
 	}
 }
 
@@ -197,7 +197,7 @@
 	p.confirmed = time.Now()
 	bounded, cancel := context.WithTimeout(ctx, askPatience)
 	defer cancel()
-	if _, err := p.desk.config.Lead.Refresh(bounded); err != nil {
+	if _, err := p.desk.config.Leader.Refresh(bounded); err != nil {
 		p.desk.logger.Debug("who leads could not be read: %v", err)
 	}
 }
@@ -205,13 +205,13 @@
 // message returns what the lead is told.
 func (p *Pinger) message(epoch uint64, own link.Offer) link.Ping {
 	m := link.Ping{
-		Entry: p.self.Node, Address: p.self.Address, Strength: p.self.Strength, Epoch: epoch, StoreAgeMillis: -1, Offer: own,
+		Entry: p.self.Process, Address: p.self.Address, Strength: p.self.Strength, Epoch: epoch, StoreAgeMillis: -1, Offer: own,
 	}
-	if answered := p.desk.config.Health.Answered(); !answered.IsZero() {
+	if answered := p.desk.config.Health.LastAnswer(); !answered.IsZero() {
 		m.StoreAgeMillis = time.Since(answered).Milliseconds()
 	}
 	if p.listEpoch == epoch {
-		m.List = p.list
+		m.EntriesVersion = p.list
 	}
 	if !p.sendValue {
 		m.Value = nil
@@ -239,7 +239,7 @@
 		return
 	}
 	if held, err := record.DecodeLeader(item.Value()); err == nil {
-		p.desk.config.Lead.Offer(follow.Value[record.Leader]{Held: held, Revision: item.Revision()})
+		p.desk.config.Leader.Offer(follow.Value[record.Leader]{Decoded: held, Revision: item.Revision()})
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 	p.desk.logger.Info("callers are served again; the store is not known to be away")
 	p.probing = false
-	p.desk.config.Store.SetBack()
+	p.desk.config.Store.SetAvailable()
 }
 
 // probe finds out whether the store answers this entry, where it does not answer the lead.
@@ -278,7 +278,7 @@
 			p.desk.logger.Warn("the store answers neither the lead nor this entry; callers are refused: %v", err)
 		}
 		p.probing = true
-		p.desk.config.Store.SetAway(awayFor)
+		p.desk.config.Store.SetUnavailable(awayFor)
 		return
 	}
 	p.back()
--- a/internal/intake/pinger_test.go
+++ b/internal/intake/pinger_test.go
@@ -58,10 +58,10 @@
 	asked := time.Now()
 	if away {
 		err := fault.New(fault.Unavailable, "turned away")
-		s.health.Note(asked, err)
+		s.health.Record(asked, err)
 		return kv.Item{}, err
 	}
-	s.health.Note(asked, nil)
+	s.health.Record(asked, nil)
 	return s.Store.Get(ctx, key)
 }
 
@@ -120,7 +120,7 @@
 		l.pings = append(l.pings, p)
 		return l.answer, l.err
 	})
-	rpc.Handle(mux, link.MethodState, func(context.Context, *rpc.Peer, link.JobState) (link.JobStateAnswer, error) {
+	rpc.Handle(mux, link.MethodState, func(context.Context, *rpc.Peer, link.JobStateRequest) (link.JobStateAnswer, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.state, l.err
@@ -147,13 +147,13 @@
 	e.endLead = end
 	pool := relay.NewPool("self", secret, rpc.NewMux(timeline.NewClock(time.Now)), nil)
 	followed := follow.New(e.store, record.LeaderKey, record.DecodeLeader, logging.Discard())
-	followed.Offer(follow.Value[record.Leader]{Held: record.Leader{Process: "lead", Address: address, Epoch: 7}, Revision: 1})
+	followed.Offer(follow.Value[record.Leader]{Decoded: record.Leader{Process: "lead", Address: address, Epoch: 7}, Revision: 1})
 	decode := func([]byte) (*policy.Policy, error) { return nil, fault.New(fault.BadInput, "none") }
 	desk := New(Config{
-		Store: relay.New(e.store, health, pool), Direct: e.store, Health: health, Pool: pool, Lead: followed, Leader: e.suspected,
+		Store: relay.New(e.store, health, pool), Direct: e.store, Health: health, Pool: pool, Leader: followed, Dispatcher: e.suspected,
 		Policies: NewPolicies(e.store, "config", decode, logging.Discard()), Logger: logging.Discard(), Metrics: metric.New(),
 	})
-	e.Pinger = NewPinger(desk, Self{Node: "self", Address: "self", Strength: 0.8}, e.suspected)
+	e.Pinger = NewPinger(desk, Self{Process: "self", Address: "self", Strength: 0.8}, e.suspected)
 	return e
 }
 
@@ -204,15 +204,15 @@
 	Register(mux, e.store.Store, &kv.Health{})
 	server := rpc.Serve(listener, secret, mux, rpc.ProcessLimits())
 	defer server.Close()
-	e.desk.config.Pool.Learn([]string{listener.Addr().String()})
+	e.desk.config.Pool.Add([]string{listener.Addr().String()})
 	e.store.set(true)
 	for range 2 {
 		_ = e.ask(t.Context())
 	}
 	e.lead.set(link.PingAnswer{}, fault.New(fault.Stale, "this entry does not lead"))
 	assert.Assert(t, fault.Is(e.pinged(t), fault.Stale))
-	lead, _ := e.desk.config.Lead.Value()
-	assert.Equal(t, lead.Held.Epoch, uint64(8))
+	lead, _ := e.desk.config.Leader.Value()
+	assert.Equal(t, lead.Decoded.Epoch, uint64(8))
 }
 
 func TestLeadWhoseVMRefusesConnectionsIsSuspected(t *testing.T) {
--- a/internal/intake/policies.go
+++ b/internal/intake/policies.go
@@ -44,19 +44,19 @@
 // Run follows the configuration until ctx ends.
 func (p *Policies) Run(ctx context.Context) { p.follower.Run(ctx) }
 
-// Vouch records that the leader has confirmed the configuration just now.
-func (p *Policies) Vouch() { p.follower.Vouch() }
+// Confirm records that the leader has confirmed the configuration just now.
+func (p *Policies) Confirm() { p.follower.Confirm() }
 
 // Newest returns the configuration, nil before the first.
 func (p *Policies) Newest() *policy.Policy {
 	value, _ := p.follower.Value()
-	return value.Held.policy
+	return value.Decoded.policy
 }
 
 // Offer returns the configuration as the store holds it.
 func (p *Policies) Offer() link.Offer {
 	value, _ := p.follower.Value()
-	return link.Offer{Revision: uint64(value.Revision), Value: value.Held.raw}
+	return link.Offer{Revision: uint64(value.Revision), Value: value.Decoded.raw}
 }
 
 // Accept keeps an offer unless a newer one is known.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return
 	}
-	p.follower.Offer(follow.Value[configuration]{Held: read, Revision: kv.Revision(offer.Revision)})
+	p.follower.Offer(follow.Value[configuration]{Decoded: read, Revision: kv.Revision(offer.Revision)})
 }
 
 const (
--- a/internal/intake/state_test.go
+++ b/internal/intake/state_test.go
@@ -21,7 +21,7 @@
 	routes := []policy.Route{{Host: "h", Prefix: "/q/"}}
 	e := newEntry(t)
 	held := configuration{policy: policy.New(1, routes, nil, 0)}
-	e.desk.config.Policies.follower.Offer(follow.Value[configuration]{Held: held, Revision: 1})
+	e.desk.config.Policies.follower.Offer(follow.Value[configuration]{Decoded: held, Revision: 1})
 	state := func() (job.State, error) {
 		return e.desk.State(t.Context(), Address{Host: "h", Path: "/q/" + string(id)})
 	}
--- a/internal/job/crashes.go
+++ b/internal/job/crashes.go
@@ -92,8 +92,8 @@
 	return unit.history != before
 }
 
-// Suspicion returns the crash history of a task.
-func (j *Job) Suspicion(t TaskID) crash.History { return j.Task(j.CrashUnit(t)).history }
+// CrashHistory returns the crash history of a task.
+func (j *Job) CrashHistory(t TaskID) crash.History { return j.Task(j.CrashUnit(t)).history }
 
 // LastCrashCounted reports whether the latest counted crash of a task was that of this run.
 func (j *Job) LastCrashCounted(t TaskID, run int) bool { return run == j.Task(j.CrashUnit(t)).crashRun }
--- a/internal/job/spec_test.go
+++ b/internal/job/spec_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(t, err)
 	j := New(id, Spec{Steps: []Step{{Count: 1}}}, Queue{}, time.Unix(1, 0))
 	assert.NilError(t, j.ApplyProgress(data))
-	assert.Equal(t, j.Suspicion(TaskID{Job: id}), crash.NewHistory(1, 2))
+	assert.Equal(t, j.CrashHistory(TaskID{Job: id}), crash.NewHistory(1, 2))
 	assert.Assert(t, j.LastCrashCounted(TaskID{Job: id}, 2))
 }
 
--- a/internal/kv/health.go
+++ b/internal/kv/health.go
@@ -27,8 +27,8 @@
 	limited time.Time
 }
 
-// Note takes note of how a call ended that was made at a time.
-func (h *Health) Note(asked time.Time, err error) {
+// Record takes note of how a call ended that was made at a time.
+func (h *Health) Record(asked time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -64,9 +64,9 @@
 
 func (h *Health) isLimited() bool { return !h.limited.IsZero() && time.Since(h.limited) < rateWindow }
 
-// NoteTurnedAway records that the store answered another process right after it had refused this one for the rate: it counts as away until it
+// MarkRejected records that the store answered another process right after it had refused this one for the rate: it counts as away until it
 // answers this one again.
-func (h *Health) NoteTurnedAway() {
+func (h *Health) MarkRejected() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.isLimited() {
@@ -88,15 +88,15 @@
 	return h.failures
 }
 
-// Answered returns when the latest answer came, zero before the first.
-func (h *Health) Answered() time.Time {
+// LastAnswer returns when the latest answer came, zero before the first.
+func (h *Health) LastAnswer() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.answered
 }
 
-// Failing returns since when no call was answered, zero while they are.
-func (h *Health) Failing() time.Time {
+// FailingSince returns since when no call was answered, zero while they are.
+func (h *Health) FailingSince() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.failing
--- a/internal/kv/health_test.go
+++ b/internal/kv/health_test.go
@@ -14,17 +14,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
 		lost := fault.New(fault.OutcomeUnknown, "no answer")
-		h.Note(time.Now(), lost)
+		h.Record(time.Now(), lost)
 		assert.Assert(t, !h.Down(), "one may have gone by a silent connection")
-		first := h.Failing()
+		first := h.FailingSince()
 		time.Sleep(time.Second)
-		h.Note(time.Now(), lost)
+		h.Record(time.Now(), lost)
 		assert.Assert(t, h.Down())
-		assert.Equal(t, h.Failing(), first)
-		h.Note(time.Now(), fault.New(fault.Conflict, "a condition failed"))
+		assert.Equal(t, h.FailingSince(), first)
+		h.Record(time.Now(), fault.New(fault.Conflict, "a condition failed"))
 		assert.Assert(t, !h.Down())
-		assert.Assert(t, h.Failing().IsZero())
-		assert.Equal(t, h.Answered(), time.Now())
+		assert.Assert(t, h.FailingSince().IsZero())
+		assert.Equal(t, h.LastAnswer(), time.Now())
 	})
 }
 
@@ -33,9 +33,9 @@
 		var h Health
 		asked := time.Now()
 		time.Sleep(time.Second)
-		h.Note(time.Now(), nil)
-		h.Note(asked, fault.New(fault.OutcomeUnknown, "no answer"))
-		h.Note(asked, fault.New(fault.OutcomeUnknown, "no answer"))
+		h.Record(time.Now(), nil)
+		h.Record(asked, fault.New(fault.OutcomeUnknown, "no answer"))
+		h.Record(asked, fault.New(fault.OutcomeUnknown, "no answer"))
 		assert.Assert(t, !h.Down())
 	})
 }
@@ -47,19 +47,19 @@
 		var h Health
 		refused := fault.New(fault.Overloaded, "refused for its rate")
 		for range 10 {
-			h.Note(time.Now(), refused)
+			h.Record(time.Now(), refused)
 			time.Sleep(90 * time.Millisecond)
 		}
 		assert.Assert(t, !h.Down())
 		assert.Assert(t, h.Limited())
-		h.Note(time.Now(), nil)
+		h.Record(time.Now(), nil)
 		assert.Assert(t, !h.Limited())
 
-		for h.Note(time.Now(), refused); !h.Down(); h.Note(time.Now(), refused) {
+		for h.Record(time.Now(), refused); !h.Down(); h.Record(time.Now(), refused) {
 			time.Sleep(100 * time.Millisecond)
-			assert.Assert(t, time.Since(h.Answered()) < 2*rateWindow)
+			assert.Assert(t, time.Since(h.LastAnswer()) < 2*rateWindow)
 		}
-		assert.Assert(t, time.Since(h.Answered()) >= rateWindow)
+		assert.Assert(t, time.Since(h.LastAnswer()) >= rateWindow)
 		assert.Assert(t, !h.Limited())
 	})
 }
@@ -68,14 +68,14 @@
 func TestRefusalIsNotForTheRateWhereAnotherIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
-		h.NoteTurnedAway()
+		h.MarkRejected()
 		assert.Assert(t, !h.Down(), "nothing was refused")
-		h.Note(time.Now(), fault.New(fault.Overloaded, "refused for its rate"))
+		h.Record(time.Now(), fault.New(fault.Overloaded, "refused for its rate"))
 		first := h.limited
-		h.NoteTurnedAway()
+		h.MarkRejected()
 		assert.Assert(t, h.Down() && !h.Limited())
-		assert.Equal(t, h.Failing(), first)
-		h.Note(time.Now(), nil)
+		assert.Equal(t, h.FailingSince(), first)
+		h.Record(time.Now(), nil)
 		assert.Assert(t, !h.Down())
 	})
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -44,8 +44,8 @@
 // Item returns the item as written, without a value where it is gone.
 func (e Event) Item() Item { return e.item }
 
-// Gone reports whether the key was removed.
-func (e Event) Gone() bool { return e.gone }
+// Removed reports whether the key was removed.
+func (e Event) Removed() bool { return e.gone }
 
 // Condition holds while a key is at a revision; revision 0 asks for its absence.
 type Condition struct {
--- a/internal/kvtest/kvtest.go
+++ b/internal/kvtest/kvtest.go
@@ -12,20 +12,20 @@
 	"github.com/saffronpulley/saffronpulley/internal/kv"
 )
 
-// Trouble is what happens to a call.
-type Trouble int
+// Failure is what happens to a call.
+type Failure int
 
 // The kinds of trouble.
 const (
-	None Trouble = iota
+	None Failure = iota
 	// Refused calls are not done, and it is said so.
 	Refused
-	// Lost calls are done, and their answer is lost.
-	Lost
+	// AnswerLost calls are done, and their answer is lost.
+	AnswerLost
 	// Late calls are done when Catch is called, if their conditions still hold then, and their answer is lost.
 	Late
-	// Unsent calls are not done, and their answer is lost.
-	Unsent
+	// RequestLost calls are not done, and their answer is lost.
+	RequestLost
 )
 
 // Store is a store in memory.
@@ -43,7 +43,7 @@
 	commits int
 	changed chan struct{}
 	// trouble is asked before each commit.
-	trouble func() Trouble
+	trouble func() Failure
 }
 
 var _ kv.Store = (*Store)(nil)
@@ -53,15 +53,15 @@
 	return &Store{items: make(map[string]kv.Item), leases: make(map[kv.LeaseID]struct{}), owners: make(map[string]kv.LeaseID), changed: make(chan struct{})}
 }
 
-// SetTrouble makes the store ask what happens to each commit from now on.
-func (s *Store) SetTrouble(trouble func() Trouble) {
+// SetFailure makes the store ask what happens to each commit from now on.
+func (s *Store) SetFailure(trouble func() Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = trouble
 }
 
-// Catch does the late commits, in their order.
-func (s *Store) Catch() {
+// ApplyLate does the late commits, in their order.
+func (s *Store) ApplyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, change := range s.late {
@@ -70,8 +70,8 @@
 	s.late = nil
 }
 
-// Forget drops the history.
-func (s *Store) Forget() {
+// DropHistory drops the history.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.forgot = nil, s.revision
@@ -177,12 +177,12 @@
 	switch trouble {
 	case Refused:
 		return 0, fault.New(fault.Unavailable, "refused")
-	case Unsent:
+	case RequestLost:
 		return 0, fault.New(fault.OutcomeUnknown, "no answer")
 	case Late:
 		s.late = append(s.late, change)
 		return 0, fault.New(fault.OutcomeUnknown, "no answer")
-	case Lost:
+	case AnswerLost:
 		_, _ = s.apply(change)
 		return 0, fault.New(fault.OutcomeUnknown, "no answer")
 	case None:
@@ -190,8 +190,8 @@
 	return s.apply(change)
 }
 
-// Operate makes a change as the operators do, whose calls no trouble befalls.
-func (s *Store) Operate(change kv.Txn) error {
+// CommitAsOperator makes a change as the operators do, whose calls no trouble befalls.
+func (s *Store) CommitAsOperator(change kv.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, err := s.apply(change)
@@ -279,8 +279,8 @@
 	}
 }
 
-// Revoke takes the keys of all leases away and leaves the leases, which no request shows.
-func (s *Store) Revoke() {
+// RemoveLeasedKeys takes the keys of all leases away and leaves the leases, which no request shows.
+func (s *Store) RemoveLeasedKeys() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -13,19 +13,19 @@
 )
 
 // Heartbeat answers the heartbeat of an agent.
-func (l *Leader) Heartbeat(_ context.Context, p *rpc.Peer, beat control.Beat) (control.BeatAnswer, error) {
+func (l *Leader) Heartbeat(_ context.Context, p *rpc.Peer, beat control.Heartbeat) (control.HeartbeatAnswer, error) {
 	d, _, loaded := l.document.Current()
 	if !loaded {
-		return control.BeatAnswer{}, fault.New(fault.Unavailable, "the leader is not ready")
+		return control.HeartbeatAnswer{}, fault.New(fault.Unavailable, "the leader is not ready")
 	}
 	now := time.Now()
 	l.mu.Lock()
 	agent, known := l.recordHeartbeat(p, &beat, now)
 	if !known {
 		l.mu.Unlock()
-		return control.BeatAnswer{Known: false}, nil
+		return control.HeartbeatAnswer{Known: false}, nil
 	}
-	answer, operations := control.BeatAnswer{Known: true, Epoch: l.epoch, Lapsed: !l.holdsLease(now)}, []*operation(nil)
+	answer, operations := control.HeartbeatAnswer{Known: true, Epoch: l.epoch, LeaseExpired: !l.holdsLease(now)}, []*operation(nil)
 	// A leader whose lease has expired may have older state than its successor, so it decides nothing.
 	if l.holdsLease(now) {
 		answer.Acked, operations = l.splitReports(d, agent, &beat)
@@ -35,7 +35,7 @@
 	}
 	isNew := agent.revision == 0
 	l.mu.Unlock()
-	if beat.Profile != nil || len(beat.Statuses) > 0 || len(beat.Gone) > 0 {
+	if beat.Profile != nil || len(beat.Statuses) > 0 || len(beat.Removed) > 0 {
 		l.publishSummary()
 	}
 	for _, o := range operations {
@@ -48,7 +48,7 @@
 }
 
 // recordHeartbeat applies a heartbeat to the view of its agent, and reports false if the agent is unknown and sent no profile. l.mu is held.
-func (l *Leader) recordHeartbeat(p *rpc.Peer, beat *control.Beat, now time.Time) (*agentView, bool) {
+func (l *Leader) recordHeartbeat(p *rpc.Peer, beat *control.Heartbeat, now time.Time) (*agentView, bool) {
 	agent, ok := l.agents[beat.Instance]
 	if !ok || agent.boot != beat.Boot {
 		if beat.Profile == nil {
@@ -60,11 +60,11 @@
 		}
 		l.agents[beat.Instance], agent = created, created
 	}
-	changed := agent.stopping != beat.Stopping || agent.batchBlocked != beat.Pressed || !ok
+	changed := agent.stopping != beat.Stopping || agent.batchBlocked != beat.BatchBlocked || !ok
 	agent.peer, agent.lastHeartbeat, agent.applied = p, now, beat.Applied
-	agent.stopping, agent.batchBlocked, agent.evictionRequested = beat.Stopping, beat.Pressed, beat.Evict
+	agent.stopping, agent.batchBlocked, agent.evictionRequested = beat.Stopping, beat.BatchBlocked, beat.Evict
 	changed = agent.updateStatuses(beat) || changed
-	l.checkBase(agent, beat.Have)
+	l.checkBase(agent, beat.Received)
 	l.recordMeasurements(agent, beat, now)
 	if changed || beat.Evict {
 		l.dirty = true
@@ -73,7 +73,7 @@
 	return agent, true
 }
 
-func newAgentView(beat *control.Beat) *agentView {
+func newAgentView(beat *control.Heartbeat) *agentView {
 	return &agentView{
 		boot: beat.Boot, profile: *beat.Profile, capacity: beat.Profile.Capacity.Decode(),
 		statuses: make(map[task.Run]status),
@@ -94,25 +94,25 @@
 }
 
 // updateStatuses applies the changed statuses of a heartbeat, or all of them if it has a profile, and reports whether any changed.
-func (a *agentView) updateStatuses(beat *control.Beat) bool {
+func (a *agentView) updateStatuses(beat *control.Heartbeat) bool {
 	before := a.statuses
 	if beat.Profile != nil {
 		a.statuses = make(map[task.Run]status, len(beat.Statuses))
 	}
-	changed := len(beat.Gone) > 0 || (beat.Profile != nil && len(before) != len(beat.Statuses))
+	changed := len(beat.Removed) > 0 || (beat.Profile != nil && len(before) != len(beat.Statuses))
 	for _, s := range beat.Statuses {
-		updated := status{workload: s.Workload, state: task.ParseState(s.State), serves: s.Serves}
+		updated := status{workload: s.Workload, state: task.ParseState(s.State), serves: s.IsReplica}
 		changed = changed || before[s.Run.Decode()] != updated
 		a.statuses[s.Run.Decode()] = updated
 	}
-	for _, run := range beat.Gone {
+	for _, run := range beat.Removed {
 		delete(a.statuses, run.Decode())
 	}
 	return changed
 }
 
 // splitReports separates reports that need no commit, which it acknowledges, from those still to commit. l.mu is held.
-func (l *Leader) splitReports(d *cell.Document, agent *agentView, beat *control.Beat) ([]control.Run, []*operation) {
+func (l *Leader) splitReports(d *cell.Document, agent *agentView, beat *control.Heartbeat) ([]control.Run, []*operation) {
 	var acknowledged []control.Run
 	var operations []*operation
 	for _, r := range beat.Reports {
@@ -134,7 +134,7 @@
 // missingRuns returns operations that end runs which the document places on the agent but which are neither desired nor reported by it.
 //
 // It returns none until the agent has applied the current position, after which the agent starts no such run.
-func (l *Leader) missingRuns(d *cell.Document, agent *agentView, beat *control.Beat) []*operation {
+func (l *Leader) missingRuns(d *cell.Document, agent *agentView, beat *control.Heartbeat) []*operation {
 	if agent.revision == 0 || beat.Applied != l.position(agent) {
 		return nil
 	}
@@ -154,7 +154,7 @@
 	return missing
 }
 
-func isReported(beat *control.Beat, run task.Run) bool {
+func isReported(beat *control.Heartbeat, run task.Run) bool {
 	for _, r := range beat.Reports {
 		if r.Run.Decode() == run {
 			return true
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return control.Job{}, err
 	}
-	job := cell.NewJob(s.ID, s.Workload, s.Payload, s.Tasks, time.UnixMilli(s.Millis))
+	job := cell.NewJob(s.ID, s.Workload, s.Payload, s.Tasks, time.UnixMilli(s.SubmittedMillis))
 	o := newOperation(func(d *cell.Document) (bool, error) {
 		_, known := d.Job(s.ID)
 		d.Submit(job)
@@ -126,7 +126,7 @@
 	defer l.mu.Unlock()
 	wire := control.Job{
 		ID: j.ID(), Workload: j.Workload(), State: j.State().String(), Tasks: j.Tasks(), Running: running,
-		Finished: j.Finished(), Failed: j.Failed(), Evictions: j.Evictions(), Millis: j.Submitted().UnixMilli(),
+		Finished: j.Finished(), Failed: j.Failed(), Evictions: j.Evictions(), SubmittedMillis: j.Submitted().UnixMilli(),
 	}
 	if reason, ok := l.waiting[j.ID()]; ok && !j.State().IsFinal() {
 		wire.Waiting = reason.String()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -141,7 +141,7 @@
 	}
 	err := group.Wait()
 	l.failPending()
-	l.Recorder.Record(timeline.LeadLost, timeline.Subject{}, "leader of "+l.Cell+" ended")
+	l.Recorder.Record(timeline.LeadershipLost, timeline.Subject{}, "leader of "+l.Cell+" ended")
 	return err
 }
 
@@ -160,7 +160,7 @@
 	l.epoch, l.startedAt, l.dirty = updated.Epoch(), time.Now(), true
 	l.mu.Unlock()
 	l.Logger.Info("took over cell; cell=%s epoch=%d", l.Cell, updated.Epoch())
-	l.Recorder.Record(timeline.LeadTaken, timeline.Subject{}, "leader of "+l.Cell)
+	l.Recorder.Record(timeline.LeadershipAcquired, timeline.Subject{}, "leader of "+l.Cell)
 	return nil
 }
 
@@ -169,7 +169,7 @@
 		l.mu.Lock()
 		l.table, l.dirty = t, true
 		l.mu.Unlock()
-		l.Recorder.Record(timeline.TableSeen, timeline.Subject{}, versionText(t.Version()))
+		l.Recorder.Record(timeline.TableChanged, timeline.Subject{}, versionText(t.Version()))
 		l.publish()
 		l.notify()
 	}, func(err error) { l.Logger.Debug("cannot watch the table: %v", err) })
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -70,7 +70,7 @@
 
 func TestLeaderWithExpiredLeaseDecidesNothing(t *testing.T) {
 	l := beginLeader(t, memoryStore{}, "lead")
-	beat := control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
+	beat := control.Heartbeat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
 	answer, err := l.Heartbeat(t.Context(), &rpc.Peer{}, beat)
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Known)
@@ -86,7 +86,7 @@
 
 func TestCanceledRunIsDroppedOnlyOnceAgentAppliedIt(t *testing.T) {
 	l := beginLeader(t, memoryStore{}, "lead")
-	vm := control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
+	vm := control.Heartbeat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}}
 	l.UpdateVMs([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
 	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, vm)
 	assert.NilError(t, err)
@@ -117,7 +117,7 @@
 // An empty list once scaled every service of the cell to zero replicas.
 func TestVMListWithoutVMsOfCellIsIgnored(t *testing.T) {
 	l := beginLeader(t, memoryStore{}, "lead")
-	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, control.Beat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}})
+	_, err := l.Heartbeat(t.Context(), &rpc.Peer{}, control.Heartbeat{Instance: "vm-1", Boot: "b", Profile: &control.Profile{Capacity: control.Size{1000, 100}}})
 	assert.NilError(t, err)
 	l.UpdateVMs([]vmlist.VM{vmlist.NewVM("vm-1", "h", 1, vmlist.Live)})
 	share := l.share
@@ -197,12 +197,12 @@
 				leader.setLease(time.Now().Add(-2*time.Hour), store.NewLease("vm-1", time.Hour))
 			}
 		}
-		answer, err := l.Heartbeat(t.Context(), nil, control.Beat{Instance: "vm-2", Boot: "b", Profile: profile})
+		answer, err := l.Heartbeat(t.Context(), nil, control.Heartbeat{Instance: "vm-2", Boot: "b", Profile: profile})
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Lapsed, lapsed)
+		assert.Equal(t, answer.LeaseExpired, lapsed)
 		subscribed, err := polled.Subscribe(t.Context(), entry, control.Subscribe{})
 		assert.NilError(t, err)
-		assert.Equal(t, subscribed.Lapsed, lapsed)
+		assert.Equal(t, subscribed.LeaseExpired, lapsed)
 	}
 }
 
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -66,7 +66,7 @@
 	l.mu.Lock()
 	l.storeUp = true
 	l.mu.Unlock()
-	l.Recorder.Record(timeline.StoreBack, timeline.Subject{}, "the store is reachable again")
+	l.Recorder.Record(timeline.StoreReachable, timeline.Subject{}, "the store is reachable again")
 	l.notify()
 	return nil
 }
@@ -84,7 +84,7 @@
 	l.mu.Unlock()
 	if wasUp {
 		l.Logger.Warn("the store is unreachable: %v", err)
-		l.Recorder.Record(timeline.StoreLost, timeline.Subject{}, "the store is unreachable")
+		l.Recorder.Record(timeline.StoreUnreachable, timeline.Subject{}, "the store is unreachable")
 	}
 }
 
--- a/internal/leader/measurements.go
+++ b/internal/leader/measurements.go
@@ -16,7 +16,7 @@
 )
 
 // recordMeasurements adds the measurements of a heartbeat to the estimates and to the interference model; l.mu is held.
-func (l *Leader) recordMeasurements(agent *agentView, beat *control.Beat, now time.Time) {
+func (l *Leader) recordMeasurements(agent *agentView, beat *control.Heartbeat, now time.Time) {
 	for _, usage := range beat.Usage {
 		run := usage.Run.Decode()
 		s, ok := agent.statuses[run]
@@ -32,7 +32,7 @@
 		for _, n := range latency.Neighbors {
 			neighbors = append(neighbors, interference.NewNeighbor(n.Workload, n.Share))
 		}
-		runtime := time.Duration(latency.RunMicros) * time.Microsecond
+		runtime := time.Duration(latency.MeanRunMicros) * time.Microsecond
 		l.model.Observe(latency.Service, interference.BandOf(latency.Load), neighbors, runtime, latency.Samples, now)
 	}
 	for run := range agent.usage {
--- a/internal/leader/push.go
+++ b/internal/leader/push.go
@@ -74,7 +74,7 @@
 		delete(before, r.Run)
 	}
 	for run := range before {
-		d.Gone = append(d.Gone, run)
+		d.Removed = append(d.Removed, run)
 	}
 	return d
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -27,7 +27,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return control.CellStatus{
-		Cell: l.Cell, Lead: l.Agent, Epoch: l.epoch, StoreUp: l.storeUp, TableVersion: l.table.Version(),
+		Cell: l.Cell, Leader: l.Agent, Epoch: l.epoch, StoreUp: l.storeUp, TableVersion: l.table.Version(),
 		Commits: l.commits, DocumentSize: l.document.Size(), Jobs: jobs,
 		Workers: l.workerStatuses(d, time.Now()), Services: l.serviceStatuses(d),
 	}, nil
@@ -47,7 +47,7 @@
 		statuses = append(statuses, control.WorkerStatus{
 			Instance: instance, Rack: a.profile.Rack, State: l.stateName(instance, a, now), Tasks: tasks[instance],
 			Committed: committed[instance].String(), Share: committed[instance].DominantShare(a.capacity),
-			HeardMillis: now.Sub(a.lastHeartbeat).Milliseconds(), Requests: a.profile.Requests, AgentBoot: a.boot,
+			HeartbeatAgeMillis: now.Sub(a.lastHeartbeat).Milliseconds(), Requests: a.profile.Requests, AgentBoot: a.boot,
 			Accelerators: a.capacity.Accelerators(),
 		})
 	}
@@ -57,7 +57,7 @@
 		}
 		statuses = append(statuses, control.WorkerStatus{
 			Instance: instance, State: l.stateName(instance, &agentView{}, now), Tasks: count, Committed: committed[instance].String(),
-			HeardMillis: now.Sub(l.startedAt).Milliseconds(),
+			HeartbeatAgeMillis: now.Sub(l.startedAt).Milliseconds(),
 		})
 	}
 	slices.SortFunc(statuses, func(a, b control.WorkerStatus) int { return strings.Compare(a.Instance, b.Instance) })
@@ -161,7 +161,7 @@
 }
 
 // Timeline returns the events of the cell after a stamp, as recorded by all reachable agents.
-func (l *Leader) Timeline(ctx context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.Wire, error) {
+func (l *Leader) Timeline(ctx context.Context, _ *rpc.Peer, q control.TimelineQuery) ([]timeline.WireEvent, error) {
 	l.mu.Lock()
 	var peers []*rpc.Peer
 	for _, a := range l.agents {
@@ -172,17 +172,17 @@
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
-	results := make(chan []timeline.Wire, len(peers))
+	results := make(chan []timeline.WireEvent, len(peers))
 	for _, p := range peers {
 		go func() {
-			events, err := rpc.Call[control.TimelineQuery, []timeline.Wire](ctx, p, control.MethodAgentTimeline, q)
+			events, err := rpc.Call[control.TimelineQuery, []timeline.WireEvent](ctx, p, control.MethodAgentTimeline, q)
 			if err != nil {
 				l.Logger.Debug("cannot read an agent's events: %v", err)
 			}
 			results <- events
 		}()
 	}
-	events := []timeline.Wire{}
+	events := []timeline.WireEvent{}
 	for range peers {
 		events = append(events, <-results...)
 	}
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -23,9 +23,9 @@
 		go l.unsubscribe(p)
 	}
 	summary := l.summary
-	answer := control.SubscribeAnswer{Load: l.load(), Lapsed: !l.holdsLease(time.Now())}
+	answer := control.SubscribeAnswer{Load: l.load(), LeaseExpired: !l.holdsLease(time.Now())}
 	l.mu.Unlock()
-	if s.Seen != summary.Position {
+	if s.Received != summary.Position {
 		answer.Summary = &summary
 	}
 	return answer, nil
@@ -50,11 +50,11 @@
 		largest = largest.Max(a.capacity)
 	}
 	load.Largest = control.EncodeSize(largest)
-	load.Room = load.Capacity
+	load.Free = load.Capacity
 	d, _, _ := l.document.Current()
 	for _, t := range d.Tasks() {
 		if t.IsPlaced() {
-			load.Room -= t.Size().Processors()
+			load.Free -= t.Size().Processors()
 		}
 	}
 	return load
--- a/internal/link/messages.go
+++ b/internal/link/messages.go
@@ -40,8 +40,8 @@
 	Measurement int    `json:"f,omitempty"`
 	Pace        int    `json:"a,omitempty"`
 	Checkpoint  string `json:"c,omitempty"`
-	// Fresh says that the run has not outlived its start yet.
-	Fresh bool `json:"y,omitempty"`
+	// Starting says that the run has not outlived its start yet.
+	Starting bool `json:"y,omitempty"`
 }
 
 // Ended is a run that ended on a worker.
@@ -99,9 +99,9 @@
 	Draining    bool     `json:"draining,omitempty"`
 	// RemainingMillis is the least time left to a draining worker.
 	RemainingMillis int64 `json:"remaining_ms,omitempty"`
-	// Silent says that the worker does not answer, Lapsed that the time of all that it runs is surely over.
-	Silent bool `json:"silent,omitempty"`
-	Lapsed bool `json:"lapsed,omitempty"`
+	// Unreachable says that the worker does not answer, Lapsed that the time of all that it runs is surely over.
+	Unreachable  bool `json:"silent,omitempty"`
+	LeaseExpired bool `json:"lapsed,omitempty"`
 	// FirstFailureMillis is for how long the calls to the worker have been breaking off, 0 while they do not.
 	FirstFailureMillis int64 `json:"broken_ms,omitempty"`
 	// Fenced says that the worker has seen a fence of this epoch, so that Running, Ended and Pending are all there is.
@@ -110,16 +110,16 @@
 	// names that are new there, and Running is left out.
 	Running  []Running  `json:"running,omitempty"`
 	Rows     []Row      `json:"rows,omitempty"`
-	Named    []Named    `json:"named,omitempty"`
+	RowNames []RowName  `json:"named,omitempty"`
 	Ended    []Ended    `json:"ended,omitempty"`
 	Pending  []Run      `json:"pending,omitempty"`
 	Rejected []Rejected `json:"rejected,omitempty"`
-	// Unknown names runs of which the agent has no profile.
-	Unknown []Run `json:"unknown,omitempty"`
+	// MissingProfiles names runs of which the agent has no profile.
+	MissingProfiles []Run `json:"unknown,omitempty"`
 	// Crashes are the incarnations that have ended; each is reported until a leader has committed what follows from it.
 	Crashes []Crash `json:"crashes,omitempty"`
-	// List is which list of entries the agent has by this connection, 0 for none.
-	List uint64 `json:"list,omitempty"`
+	// EntriesVersion is which list of entries the agent has by this connection, 0 for none.
+	EntriesVersion uint64 `json:"list,omitempty"`
 }
 
 // ReportAnswer is the lead's answer to a report.
@@ -138,9 +138,9 @@
 	// Unverified says that the lead has not confirmed for a while that it leads.
 	Unverified bool `json:"doubtful,omitempty"`
 	// Entries are the addresses of the entries, left out where the agent has them; List numbers them from 1.
-	Entries  []string  `json:"entries,omitempty"`
-	List     uint64    `json:"list,omitempty"`
-	Profiles []Profile `json:"profiles,omitempty"`
+	Entries        []string  `json:"entries,omitempty"`
+	EntriesVersion uint64    `json:"list,omitempty"`
+	Profiles       []Profile `json:"profiles,omitempty"`
 	// UnknownService says that no configuration names the service that the worker was reported with.
 	UnknownService bool `json:"foreign,omitempty"`
 	// Connections is how many connections the worker takes at once, 0 where that is not known.
@@ -214,8 +214,8 @@
 	Strength float64 `json:"strength"`
 	// StoreAgeMillis is how long ago the store last answered the entry, below 0 where it never did.
 	StoreAgeMillis int64 `json:"store_age_ms"`
-	// List is which list of entries the entry has of this leader, 0 for none.
-	List uint64 `json:"list,omitempty"`
+	// EntriesVersion is which list of entries the entry has of this leader, 0 for none.
+	EntriesVersion uint64 `json:"list,omitempty"`
 	Offer
 }
 
@@ -228,8 +228,8 @@
 // PingAnswer is the lead's answer to an entry.
 type PingAnswer struct {
 	// Entries are addresses of entries, left out where the entry has them; List numbers them from 1.
-	Entries []string `json:"entries,omitempty"`
-	List    uint64   `json:"list,omitempty"`
+	Entries        []string `json:"entries,omitempty"`
+	EntriesVersion uint64   `json:"list,omitempty"`
 	// Unverified says that the leader has not confirmed for a while that it leads.
 	Unverified bool `json:"doubtful,omitempty"`
 	// Rank is the place of the entry among those that may lead next, from 1; 0 where it has none.
@@ -245,22 +245,22 @@
 	Offer
 }
 
-// Leader asks who leads; the answer waits a while for a leader later than the epoch After, unless it is wanted at once.
-type Leader struct {
+// LeaderRequest asks who leads; the answer waits a while for a leader later than the epoch After, unless it is wanted at once.
+type LeaderRequest struct {
 	After  uint64 `json:"after,omitempty"`
 	AtOnce bool   `json:"at_once,omitempty"`
 }
 
 // LeaderAnswer is the leader that an entry knows, with how many agents the leader has, 0 where that is not known.
 type LeaderAnswer struct {
-	Node    string `json:"node"`
+	Process string `json:"node"`
 	Address string `json:"address"`
 	Epoch   uint64 `json:"epoch"`
 	Agents  int    `json:"agents,omitempty"`
 }
 
-// Waiting asks for the count of a queue.
-type Waiting struct {
+// WaitingRequest asks for the count of a queue.
+type WaitingRequest struct {
 	Queue string `json:"queue"`
 }
 
@@ -269,8 +269,8 @@
 	Count int `json:"count"`
 }
 
-// JobState asks for the state of a job, which is answered once what the lead knows of the job is committed.
-type JobState struct {
+// JobStateRequest asks for the state of a job, which is answered once what the lead knows of the job is committed.
+type JobStateRequest struct {
 	Job string `json:"job"`
 }
 
--- a/internal/link/rows.go
+++ b/internal/link/rows.go
@@ -19,8 +19,8 @@
 	checkpoint string
 }
 
-// Named gives a run the number by which rows name it from this report on.
-type Named struct {
+// RowName gives a run the number by which rows name it from this report on.
+type RowName struct {
 	Run
 	Row uint64 `json:"n"`
 }
@@ -101,17 +101,17 @@
 func NewRowWriter() *RowWriter { return &RowWriter{named: make(map[Run]namedRow)} }
 
 // Write returns the runs of a report as rows, and the names that are new.
-func (w *RowWriter) Write(running []Running) ([]Row, []Named) {
-	rows, names := make([]Row, 0, len(running)), []Named(nil)
+func (w *RowWriter) Write(running []Running) ([]Row, []RowName) {
+	rows, names := make([]Row, 0, len(running)), []RowName(nil)
 	named := make(map[Run]namedRow, len(running))
 	for _, r := range running {
 		known, ok := w.named[r.Run]
 		if !ok || known.checkpoint != "" && r.Checkpoint == "" {
 			w.last++
 			known = namedRow{run: r.Run, number: w.last}
-			names = append(names, Named{Run: r.Run, Row: known.number})
+			names = append(names, RowName{Run: r.Run, Row: known.number})
 		}
-		row := Row{number: known.number, percent: r.Percent, figure: r.Measurement, pace: r.Pace, fresh: r.Fresh}
+		row := Row{number: known.number, percent: r.Percent, figure: r.Measurement, pace: r.Pace, fresh: r.Starting}
 		if r.Checkpoint != known.checkpoint {
 			row.checkpoint, known.checkpoint = r.Checkpoint, r.Checkpoint
 		}
@@ -132,7 +132,7 @@
 
 // Read returns the runs of a report. A row without a name, as after a report that the reader never had, is a Conflict: the reader
 // guesses nothing, and the connection is of no use any more.
-func (r *RowReader) Read(rows []Row, names []Named) ([]Running, error) {
+func (r *RowReader) Read(rows []Row, names []RowName) ([]Running, error) {
 	for _, n := range names {
 		r.named[n.Row] = namedRow{run: n.Run, number: n.Row}
 	}
@@ -147,7 +147,7 @@
 		}
 		named[row.number] = known
 		running = append(running, Running{
-			Run: known.run, Percent: row.percent, Measurement: row.figure, Pace: row.pace, Checkpoint: known.checkpoint, Fresh: row.fresh,
+			Run: known.run, Percent: row.percent, Measurement: row.figure, Pace: row.pace, Checkpoint: known.checkpoint, Starting: row.fresh,
 		})
 	}
 	r.named = named
--- a/internal/link/rows_test.go
+++ b/internal/link/rows_test.go
@@ -21,7 +21,7 @@
 		running = append(running, Running{
 			Run:     Run{Task: fmt.Sprintf("job.0.0.%d", n), Number: rapid.IntRange(1, 2).Draw(t, "run")},
 			Percent: rapid.IntRange(0, 100).Draw(t, "percent"), Measurement: rapid.IntRange(0, 9000).Draw(t, "figure"),
-			Pace: rapid.IntRange(0, 100).Draw(t, "pace"), Fresh: rapid.Bool().Draw(t, "fresh"),
+			Pace: rapid.IntRange(0, 100).Draw(t, "pace"), Starting: rapid.Bool().Draw(t, "fresh"),
 			Checkpoint: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "checkpoint"),
 		})
 	}
@@ -29,16 +29,16 @@
 }
 
 // sent brings rows and names over the wire.
-func sent(t *rapid.T, rows []Row, names []Named) ([]Row, []Named) {
+func sent(t *rapid.T, rows []Row, names []RowName) ([]Row, []RowName) {
 	var arrived Report
-	data, err := json.Marshal(Report{Rows: rows, Named: names})
+	data, err := json.Marshal(Report{Rows: rows, RowNames: names})
 	if err == nil {
 		err = json.Unmarshal(data, &arrived)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return arrived.Rows, arrived.Named
+	return arrived.Rows, arrived.RowNames
 }
 
 // TestRowsReadWhatWasWritten on each connection, which may end after any report, answered or not.
@@ -113,7 +113,7 @@
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		var r Row
 		if json.Unmarshal(data, &r) == nil {
-			_, _ = NewRowReader().Read([]Row{r}, []Named{{Row: r.number}})
+			_, _ = NewRowReader().Read([]Row{r}, []RowName{{Row: r.number}})
 		}
 	})
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -59,8 +59,8 @@
 	return &log.AsyncWriter{ChannelSize: waitingLines, DiscardOnFull: true, Writer: w}
 }
 
-// Drain lets the last lines be written before the process ends.
-func (l Logger) Drain() { time.Sleep(drainTime) }
+// Flush lets the last lines be written before the process ends.
+func (l Logger) Flush() { time.Sleep(drainTime) }
 
 // open reports whether a line may be written, and tells first how many were left out before it.
 func (l Logger) open() bool {
@@ -82,8 +82,8 @@
 	return Logger{logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}}
 }
 
-// Part returns the logger of a part, whose sentences begin with its name.
-func (l Logger) Part(name string) Logger {
+// Named returns the logger of a part, whose sentences begin with its name.
+func (l Logger) Named(name string) Logger {
 	return Logger{logger: l.logger, prefix: name + ": ", gate: l.gate}
 }
 
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,7 +15,7 @@
 	l := Logger{
 		logger: &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: &out}},
 		gate:   &gate{limiter: rate.NewLimiter(0, 2)},
-	}.Part("part")
+	}.Named("part")
 	for range 5 {
 		l.Info("a line")
 		l.Debug("not asked for, and not counted")
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -14,11 +14,11 @@
 
 func (p *process) runAgent(ctx context.Context) error {
 	r := runner.New(runner.Config{
-		VM: p.settings.ID(), Hall: p.settings.Hall(), ClosedWithin: p.settings.ClosedWithin(),
-		LongestHold: p.settings.LongestHold(), Dial: httpclient.Dial,
-		Worker: platform.NewWorker(p.settings.Worker(), p.logger.Part("worker")),
+		VM: p.settings.ID(), Hall: p.settings.Hall(), ClosureDelay: p.settings.ClosureDelay(),
+		MaxRenewal: p.settings.MaxRenewal(), Dial: httpclient.Dial,
+		Worker: platform.NewWorker(p.settings.Worker(), p.logger.Named("worker")),
 		Store:  relay.New(p.store, p.health, p.pool), Pool: p.pool, Clock: p.clock, Uptime: boottime.System{}, Random: rand.Float64, Secret: secret,
-		Logger: p.logger.Part("agent"), Metrics: p.metrics,
+		Logger: p.logger.Named("agent"), Metrics: p.metrics,
 	})
 	reports, err := serve(p.settings.Reports(), "listen.reports", mostLocal, platform.HandleReports(r))
 	if err != nil {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -29,7 +29,7 @@
 // entry is the process that serves callers and may lead.
 type entry struct {
 	*process
-	desk       *intake.Desk
+	desk       *intake.Server
 	policies   *intake.Policies
 	lead       *follow.Follower[record.Leader]
 	dispatcher *dispatch.Dispatcher
@@ -41,26 +41,26 @@
 
 func (p *process) runEntry(ctx context.Context) error {
 	e := &entry{process: p, refusals: rate.Sometimes{Interval: refusedEvery}}
-	e.policies = intake.NewPolicies(p.store, platform.PolicyKey, platform.DecodePolicy, p.logger.Part("configuration"))
-	e.lead = follow.New(p.store, record.LeaderKey, record.DecodeLeader, p.logger.Part("lead"))
+	e.policies = intake.NewPolicies(p.store, platform.PolicyKey, platform.DecodePolicy, p.logger.Named("configuration"))
+	e.lead = follow.New(p.store, record.LeaderKey, record.DecodeLeader, p.logger.Named("lead"))
 	var advisor dispatch.Advisor
 	if address := p.settings.Advice(); address != "" {
-		advisor = platform.NewAdvice(address, p.logger.Part("advice"))
+		advisor = platform.NewAdvice(address, p.logger.Named("advice"))
 	}
 	e.dispatcher = dispatch.New(dispatch.Config{
 		Advisor: advisor,
-		Node:    p.settings.ID(), Boot: p.boot, Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
-		Closures: hall.New(p.store, platform.ClosuresPrefix, p.settings.ClosedWithin(), boottime.System{}, p.logger.Part("closures")),
+		Process: p.settings.ID(), Boot: p.boot, Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
+		Closures: hall.New(p.store, platform.ClosuresPrefix, p.settings.ClosureDelay(), boottime.System{}, p.logger.Named("closures")),
 		Uptime:   boottime.System{},
-		Store:    p.store, Health: p.health, Leader: e.lead, Policies: e.policies, Logger: p.logger.Part("dispatch"), Metrics: p.metrics,
+		Store:    p.store, Health: p.health, Leader: e.lead, Policies: e.policies, Logger: p.logger.Named("dispatch"), Metrics: p.metrics,
 	})
 	e.desk = intake.New(intake.Config{
-		Store: relay.New(p.store, p.health, p.pool), Pool: p.pool, Policies: e.policies, Lead: e.lead, Leader: e.dispatcher,
-		Direct: p.store, Health: p.health, Logger: p.logger.Part("intake"), Metrics: p.metrics,
+		Store: relay.New(p.store, p.health, p.pool), Pool: p.pool, Policies: e.policies, Leader: e.lead, Dispatcher: e.dispatcher,
+		Direct: p.store, Health: p.health, Logger: p.logger.Named("intake"), Metrics: p.metrics,
 	})
 	e.dispatcher.Register(p.mux)
 	e.pinger = intake.NewPinger(e.desk, intake.Self{
-		Node: p.settings.ID(), Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
+		Process: p.settings.ID(), Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
 	}, e.dispatcher)
 	e.pinger.Register(p.mux)
 	intake.Register(p.mux, p.store, p.health)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := rpc.Serve(peers, secret, e.mux, rpc.Limits{Peers: e.settings.Shares().peers, Refused: e.refusedPeer})
+	server := rpc.Serve(peers, secret, e.mux, rpc.Limits{Peers: e.settings.Limits().peers, OnRefused: e.refusedPeer})
 	e.metrics.Gauge("peers.open", func() int64 { return int64(server.Peers()) })
 	var servers []*admin.Server
 	s := e.settings
@@ -88,7 +88,7 @@
 		start            func() (*admin.Server, error)
 	}{
 		{start: func() (*admin.Server, error) {
-			return serve(s.Callers(), "listen.callers", s.Shares().callers, e.callers())
+			return serve(s.Callers(), "listen.callers", s.Limits().callers, e.callers())
 		}},
 		{start: func() (*admin.Server, error) {
 			return serve(s.Ready(), "listen.ready", mostLocal, platform.HandleReady(e.ready))
@@ -115,7 +115,7 @@
 	refused := e.metrics.Counter("peers.refused")
 	refused.Inc(1)
 	e.refusals.Do(func() {
-		e.logger.Warn("connections of other processes are refused; limit=%d refused=%d", e.settings.Shares().peers, refused.Count())
+		e.logger.Warn("connections of other processes are refused; limit=%d refused=%d", e.settings.Limits().peers, refused.Count())
 	})
 }
 
--- a/internal/node/measured.go
+++ b/internal/node/measured.go
@@ -21,7 +21,7 @@
 
 // note counts a call that began at a time.
 func (m measuredStore) note(call string, began time.Time, err error) {
-	m.health.Note(began, err)
+	m.health.Record(began, err)
 	outcome := "done"
 	if err != nil {
 		outcome = fault.KindOf(err).String()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,17 +60,17 @@
 	if err != nil {
 		return err
 	}
-	defer logger.Drain()
+	defer logger.Flush()
 	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes())))
 	debug.SetGCPercent(collectAt)
 	p := &process{
 		settings: settings, boot: ulid.Make().String(), logger: logger, clock: timeline.NewClock(time.Now),
 		metrics: metric.New(), health: &kv.Health{},
 	}
-	p.store = measuredStore{store: platform.NewStore(settings.Store(), logger.Part("store")), metrics: p.metrics, health: p.health}
+	p.store = measuredStore{store: platform.NewStore(settings.Store(), logger.Named("store")), metrics: p.metrics, health: p.health}
 	p.metrics.RegisterProcess()
 	p.mux = rpc.NewMux(p.clock)
-	p.pool = relay.NewPool(settings.PeerAddress(), secret, p.mux, settings.Neighbors())
+	p.pool = relay.NewPool(settings.PeerAddress(), secret, p.mux, settings.KnownEntries())
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	go p.reload(ctx, path)
@@ -100,7 +100,7 @@
 			p.logger.Error("process: the changed settings are not taken: %v", err)
 			continue
 		}
-		p.pool.Learn(fresh.Neighbors())
+		p.pool.Add(fresh.KnownEntries())
 		p.logger.Info("process: settings read again; changed=%t", fresh.file != p.settings.file)
 	}
 }
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	limits := admin.Limits{Body: bodyLimit, Read: readTimeout, Idle: idleTimeout, Connections: connections}
-	return admin.Serve(listener, limits, handler, admin.RefusePlainly), nil
+	return admin.Serve(listener, limits, handler, admin.RefuseAsText), nil
 }
 
 // serveMetrics serves the metrics of the process.
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -161,8 +161,8 @@
 // MemoryBytes returns the memory of the process in bytes.
 func (s *Settings) MemoryBytes() int64 { return int64(s.file.MemoryMB) << 20 }
 
-// Shares returns how many connections of others the process takes.
-func (s *Settings) Shares() shares { return connectionShares(s.file.Descriptors, s.MemoryBytes()) }
+// Limits returns how many connections of others the process takes.
+func (s *Settings) Limits() shares { return connectionShares(s.file.Descriptors, s.MemoryBytes()) }
 
 // PeerAddress returns where other processes reach this one.
 func (s *Settings) PeerAddress() string { return s.at(s.file.Address, s.file.Ports.Peers) }
@@ -178,8 +178,8 @@
 // MetricsAddress returns where the metrics are served.
 func (s *Settings) MetricsAddress() string { return s.at(s.file.Address, s.file.Ports.Metrics) }
 
-// Neighbors returns where some entries may be reached; all processes use the same port.
-func (s *Settings) Neighbors() []string {
+// KnownEntries returns where some entries may be reached; all processes use the same port.
+func (s *Settings) KnownEntries() []string {
 	var found []string
 	for _, address := range strings.Split(s.file.Neighbors, ",") {
 		if a, err := netip.ParseAddrPort(strings.TrimSpace(address)); err == nil {
@@ -211,16 +211,16 @@
 	return time.Duration(s.file.GraceSeconds * float64(time.Second))
 }
 
-// ClosedWithin returns within what time nothing starts any more in a hall that the operators have closed.
-func (s *Settings) ClosedWithin() time.Duration {
+// ClosureDelay returns within what time nothing starts any more in a hall that the operators have closed.
+func (s *Settings) ClosureDelay() time.Duration {
 	if s.file.ClosedMillis == 0 {
 		return defaultClosed
 	}
 	return time.Duration(s.file.ClosedMillis * float64(time.Millisecond))
 }
 
-// LongestHold returns the longest time for which a worker lets itself be held.
-func (s *Settings) LongestHold() time.Duration {
+// MaxRenewal returns the longest time for which a worker lets itself be held.
+func (s *Settings) MaxRenewal() time.Duration {
 	if s.file.LongestHoldMillis == 0 {
 		return defaultLongestHold
 	}
