--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -30,14 +30,14 @@
 	s, err := Parse([]byte(goodSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.PeerAddress(), "10.1.0.14:7720")
-	assert.DeepEqual(t, s.Neighbors(), []string{"10.1.0.13:7720", "10.2.0.30:7720"})
+	assert.DeepEqual(t, s.KnownEntries(), []string{"10.1.0.13:7720", "10.2.0.30:7720"})
 	assert.Equal(t, s.Grace(), 6*time.Second)
 	assert.Equal(t, s.ListenPeers(), s.PeerAddress())
-	assert.Equal(t, s.ClosedWithin(), 5*time.Second, "where the platform tells none")
+	assert.Equal(t, s.ClosureDelay(), 5*time.Second, "where the platform tells none")
 	for text, within := range map[string]time.Duration{"closed_ms:": 5 * time.Second, "closed_ms: 4000": 4 * time.Second} {
 		s, err = Parse([]byte(goodSettings + text + "\n"))
 		assert.NilError(t, err)
-		assert.Equal(t, s.ClosedWithin(), within)
+		assert.Equal(t, s.ClosureDelay(), within)
 	}
 	s, err = Parse([]byte(strings.Replace(goodSettings, "listen: {", "listen: { peers: \"10.1.0.14:7730\",", 1)))
 	assert.NilError(t, err)
--- a/internal/operator/sight.go
+++ b/internal/operator/status.go
@@ -36,7 +36,7 @@
 		if !cell.StoreUp {
 			store = "down"
 		}
-		writer.row(cell.Cell, cell.Lead, cell.Epoch, store, cell.TableVersion, cell.Commits, fmt.Sprintf("%d B", cell.DocumentSize))
+		writer.row(cell.Cell, cell.Leader, cell.Epoch, store, cell.TableVersion, cell.Commits, fmt.Sprintf("%d B", cell.DocumentSize))
 	}
 	for _, name := range s.Unreachable {
 		writer.row(name, "(none)", "", "", "", "", "")
@@ -101,7 +101,7 @@
 func (c *commands) timeline() error {
 	after := uint64(0)
 	for {
-		var events []timeline.Wire
+		var events []timeline.WireEvent
 		body, err := c.client.getJSON("/v1/timeline?after="+strconv.FormatUint(after, 10), &events)
 		if err != nil {
 			return err
@@ -123,14 +123,14 @@
 	}
 }
 
-func (c *commands) selects(e timeline.Wire) bool {
+func (c *commands) selects(e timeline.WireEvent) bool {
 	ofTask := c.task == "" || e.Task == c.task || strings.HasPrefix(e.Task, c.task+"/")
 	ofWorker := c.worker == "" || e.Worker == c.worker
 	ofRequest := c.request == "" || e.Request == c.request
 	return ofTask && ofWorker && ofRequest
 }
 
-func (c *commands) writeEvent(e timeline.Wire) {
+func (c *commands) writeEvent(e timeline.WireEvent) {
 	subject := strings.Join(strings.Fields(e.Task+" "+e.Worker+" "+e.Request), " ")
 	fmt.Fprintf(c.out, "%s  %-10s %-17s %s  %s\n", stamp(e.Millis), e.Process, e.Kind, subject, e.Text)
 }
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -45,7 +45,7 @@
 			fallback = "must be given"
 		}
 		fmt.Fprintf(c.out, "%s (%s; %s)\n    %s Use %s.%s\n", column.Name(), strings.Join(kinds, ", "), fallback,
-			column.About(), column.Allowed(), unitText(column))
+			column.Description(), column.Allowed(), unitText(column))
 	}
 	return nil
 }
--- a/internal/plan/cost.go
+++ b/internal/plan/cost.go
@@ -46,7 +46,7 @@
 	switch {
 	case g.Step.BestEffort:
 		netValue, suitable := p.netValue(w, g)
-		if !g.Starved && !suitable {
+		if !g.NoneRunning && !suitable {
 			return 0, false
 		}
 		cost = 1 - w.share(w.Spare()) - netValueWeight*netValue
--- a/internal/plan/gang.go
+++ b/internal/plan/gang.go
@@ -20,7 +20,7 @@
 }
 
 func (p *Planner) placeGangOn(workers []*Worker, g *Group) []Placement {
-	run := g.Job.NextGangRun(g.Time, g.StepIndex)
+	run := g.Job.NextGangRun(g.Iteration, g.StepIndex)
 	var placed []Placement
 	var used []*Worker
 	candidates := p.candidates(workers, g)
--- a/internal/plan/group.go
+++ b/internal/plan/group.go
@@ -10,7 +10,7 @@
 // Group is the waiting tasks of one step in one iteration of a job.
 type Group struct {
 	Job       *job.Job
-	Time      int
+	Iteration int
 	StepIndex int
 	Step      *job.Step
 	Service   string
@@ -23,9 +23,9 @@
 	Tickets map[job.Host]string
 	// SuspectScore counts the worker crashes attributed to the tasks; with 0 they may start beside other tasks.
 	SuspectScore int
-	// Starved is set if no task of the job runs; then one task is placed even where it makes serving tasks violate
+	// NoneRunning is set if no task of the job runs; then one task is placed even where it makes serving tasks violate
 	// their targets.
-	Starved bool
+	NoneRunning bool
 	// Priority 0 is the highest. Slack is the time until the job can no longer meet its objective, CutoffSlack the
 	// time until it no longer earns anything.
 	Priority    int
@@ -84,7 +84,7 @@
 		cmp.Compare(a.remainingWork(), b.remainingWork()),
 		cmp.Compare(a.Slack, b.Slack),
 		cmp.Compare(a.Job.ID(), b.Job.ID()),
-		cmp.Compare(a.Time, b.Time),
+		cmp.Compare(a.Iteration, b.Iteration),
 		cmp.Compare(a.StepIndex, b.StepIndex),
 	)
 }
@@ -106,6 +106,6 @@
 	}
 	g.TasksByWorker[w.Host]++
 	w.addStarting(g)
-	id := job.TaskID{Job: g.Job.ID(), Iteration: g.Time, Step: g.StepIndex, Index: index}
+	id := job.TaskID{Job: g.Job.ID(), Iteration: g.Iteration, Step: g.StepIndex, Index: index}
 	return Placement{Task: id, Step: g.Step, Host: w.Host, Run: run, Suspect: g.SuspectScore > 0}
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -75,9 +75,9 @@
 			break
 		}
 		placed = append(placed, p.place(w, g, i, 0))
-		if g.Starved {
+		if g.NoneRunning {
 			// The first task ignores target violations; the costs for the others are computed with them.
-			g.Starved = false
+			g.NoneRunning = false
 			candidates = p.candidates(p.workers, g)
 			continue
 		}
@@ -105,7 +105,7 @@
 // run.
 func (g *Group) isUnconstrained() bool {
 	s := g.Step
-	return s.BestEffort && !g.Starved && g.SuspectScore == 0 && g.Tickets == nil && s.Requires == "" && s.AntiAffinity == 0
+	return s.BestEffort && !g.NoneRunning && g.SuspectScore == 0 && g.Tickets == nil && s.Requires == "" && s.AntiAffinity == 0
 }
 
 // place places a task of the group on a worker.
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -166,7 +166,7 @@
 			case "priority":
 				g.Priority = int(parseFloat(t, value))
 			case "starved":
-				g.Starved = true
+				g.NoneRunning = true
 			case "suspect":
 				g.SuspectScore = int(parseFloat(t, value))
 			default:
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -11,8 +11,8 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// Checks sets how many times each property is drawn, unless that is given on the command line.
-func Checks(count string) { setUnlessGiven("rapid.checks", count) }
+// SetChecks sets how many times each property is drawn, unless that is given on the command line.
+func SetChecks(count string) { setUnlessGiven("rapid.checks", count) }
 
 func setUnlessGiven(name, value string) {
 	given := false
--- a/internal/relay/away.go
+++ b/internal/relay/availability.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// SetAway takes note that the store was found to answer nobody: calls that are under way are given up, and others refused at
+// SetUnavailable takes note that the store was found to answer nobody: calls that are under way are given up, and others refused at
 // once, for a while or until SetBack.
-func (s *Store) SetAway(lasts time.Duration) {
+func (s *Store) SetUnavailable(lasts time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !time.Now().Before(s.away) {
@@ -18,8 +18,8 @@
 	s.away = s.found.Add(lasts)
 }
 
-// SetBack takes note that the store answers again, or that this is not known.
-func (s *Store) SetBack() {
+// SetAvailable takes note that the store answers again, or that this is not known.
+func (s *Store) SetAvailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.away, s.down = time.Time{}, time.Time{}
@@ -36,7 +36,7 @@
 func (s *Store) enter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.away) && !s.health.Answered().After(s.found) {
+	if time.Now().Before(s.away) && !s.health.LastAnswer().After(s.found) {
 		return false
 	}
 	if s.down.IsZero() {
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -36,18 +36,18 @@
 		// Processes that start from the same addresses do not all turn to the first one.
 		turn: rand.IntN(math.MaxInt16), //nolint:gosec // not a secret
 	}
-	p.Learn(addresses)
+	p.Add(addresses)
 	return p
 }
 
-// SetDial sets how connections are made, before the first of them.
-func (p *Pool) SetDial(dial rpc.Dialer) { p.dial = dial }
+// SetDialer sets how connections are made, before the first of them.
+func (p *Pool) SetDialer(dial rpc.Dialer) { p.dial = dial }
 
 // mostAddresses bounds the list; the oldest go first.
 const mostAddresses = 64
 
-// Learn adds addresses of entries.
-func (p *Pool) Learn(addresses []string) {
+// Add adds addresses of entries.
+func (p *Pool) Add(addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range addresses {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -181,7 +181,7 @@
 		}
 		if note(err) {
 			if limited {
-				s.health.NoteTurnedAway()
+				s.health.MarkRejected()
 			}
 			return last
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -53,13 +53,13 @@
 	return kv.Txn{Conditions: []kv.Condition{{Key: key}}, Puts: []kv.Put{{Key: key, Value: []byte("v")}}}
 }
 
-func always(trouble kvtest.Trouble) func() kvtest.Trouble {
-	return func() kvtest.Trouble { return trouble }
+func always(trouble kvtest.Failure) func() kvtest.Failure {
+	return func() kvtest.Failure { return trouble }
 }
 
 func TestStoreThatRefusesIsReachedThroughAnEntry(t *testing.T) {
 	refusing, serving := kvtest.New(), kvtest.New()
-	refusing.SetTrouble(always(kvtest.Refused))
+	refusing.SetFailure(always(kvtest.Refused))
 	s := New(refusing, &kv.Health{}, pool(entry(t, serving)))
 	assert.NilError(t, s.Commit(context.Background(), once()))
 	assert.DeepEqual(t, serving.Keys(""), []string{"key"})
@@ -67,7 +67,7 @@
 
 func TestRefusedEverywhereIsSurelyNotDone(t *testing.T) {
 	store := kvtest.New()
-	store.SetTrouble(always(kvtest.Refused))
+	store.SetFailure(always(kvtest.Refused))
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	err := New(store, &kv.Health{}, pool(entry(t, store))).Commit(ctx, once())
@@ -77,10 +77,10 @@
 func TestLostAnswerIsNeverToldAsNotDone(t *testing.T) {
 	store := kvtest.New()
 	lost := true
-	store.SetTrouble(func() kvtest.Trouble {
+	store.SetFailure(func() kvtest.Failure {
 		if lost {
 			lost = false
-			return kvtest.Unsent
+			return kvtest.RequestLost
 		}
 		return kvtest.Refused
 	})
@@ -93,10 +93,10 @@
 func TestLostAnswerIsFoundOutByTheSecondAttempt(t *testing.T) {
 	store := kvtest.New()
 	lost := true
-	store.SetTrouble(func() kvtest.Trouble {
+	store.SetFailure(func() kvtest.Failure {
 		if lost {
 			lost = false
-			return kvtest.Lost
+			return kvtest.AnswerLost
 		}
 		return kvtest.None
 	})
@@ -109,7 +109,7 @@
 	p := pool("a", "self", "a", "b")
 	assert.DeepEqual(t, p.addresses, []string{"a", "b"})
 	for i := range mostAddresses {
-		p.Learn([]string{string(rune('A' + i))})
+		p.Add([]string{string(rune('A' + i))})
 	}
 	assert.Equal(t, len(p.addresses), mostAddresses)
 }
@@ -117,7 +117,7 @@
 // TestKnownOutageIsRefusedAtOnce: while nothing answers, callers are told at once, truly, that nothing was sent.
 func TestKnownOutageIsRefusedAtOnce(t *testing.T) {
 	store := kvtest.New()
-	store.SetTrouble(always(kvtest.Unsent))
+	store.SetFailure(always(kvtest.RequestLost))
 	s := New(store, &kv.Health{}, pool())
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -129,7 +129,7 @@
 	assert.Assert(t, time.Since(began) < downFor/2)
 	assert.Equal(t, store.Commits(), sent)
 
-	store.SetTrouble(nil)
+	store.SetFailure(nil)
 	time.Sleep(downFor + 10*time.Millisecond)
 	assert.NilError(t, s.Commit(context.Background(), once()))
 }
@@ -139,14 +139,14 @@
 	store := kvtest.New()
 	health := &kv.Health{}
 	s := New(store, health, pool())
-	s.SetAway(time.Minute)
+	s.SetUnavailable(time.Minute)
 	assert.Assert(t, fault.Is(s.Commit(context.Background(), once()), fault.Unavailable))
 	assert.Equal(t, store.Commits(), 0)
-	s.SetBack()
+	s.SetAvailable()
 	assert.NilError(t, s.Commit(context.Background(), once()))
-	s.SetAway(time.Minute)
+	s.SetUnavailable(time.Minute)
 	time.Sleep(time.Millisecond)
-	health.Note(time.Now(), nil)
+	health.Record(time.Now(), nil)
 	err := s.Commit(context.Background(), once())
 	assert.Assert(t, fault.Is(err, fault.Conflict), "the store answers this process again: %v", err)
 }
@@ -154,10 +154,10 @@
 // TestCallUnderWayIsGivenUpOnceTheStoreIsAway failed while such calls were held until their patience was over.
 func TestCallUnderWayIsGivenUpOnceTheStoreIsAway(t *testing.T) {
 	store := kvtest.New()
-	store.SetTrouble(always(kvtest.Unsent))
+	store.SetFailure(always(kvtest.RequestLost))
 	s := New(store, &kv.Health{}, pool())
 	began := time.Now()
-	time.AfterFunc(50*time.Millisecond, func() { s.SetAway(time.Minute) })
+	time.AfterFunc(50*time.Millisecond, func() { s.SetUnavailable(time.Minute) })
 	err := s.Commit(context.Background(), once())
 	assert.Assert(t, fault.Is(err, fault.OutcomeUnknown), "it may have been done: %v", err)
 	assert.Assert(t, time.Since(began) < patience/2)
@@ -179,7 +179,7 @@
 	defer close(held)
 	health := &kv.Health{}
 	for range 2 {
-		health.Note(time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
+		health.Record(time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
 	}
 	s := New(kvtest.New(), health, pool(listener.Addr().String()))
 	const oneCall = 900 * time.Millisecond
@@ -236,6 +236,6 @@
 // Commit implements kv.Store.
 func (s turnedAway) Commit(context.Context, kv.Txn) (kv.Revision, error) {
 	err := fault.New(fault.Overloaded, "refused for its rate")
-	s.health.Note(time.Now(), err)
+	s.health.Record(time.Now(), err)
 	return 0, err
 }
--- a/internal/rpc/limits_test.go
+++ b/internal/rpc/limits_test.go
@@ -22,7 +22,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	var refused atomic.Int32
-	limits := Limits{Peers: 1, RetryAfter: 3 * time.Second, Refused: func() { refused.Add(1) }}
+	limits := Limits{Peers: 1, RetryAfter: 3 * time.Second, OnRefused: func() { refused.Add(1) }}
 	s := Serve(listener, "", NewMux(timeline.NewClock(time.Now)), limits)
 	t.Cleanup(s.Close)
 	first, err := dial(t, s, "")
@@ -90,7 +90,7 @@
 	m := NewMux(timeline.NewClock(time.Now))
 	Handle(m, "echo", func(_ context.Context, _ *Peer, s text) (text, error) { return s, nil })
 	var refused atomic.Int32
-	s := Serve(listener, "", m, Limits{Peers: most, Refused: func() { refused.Add(1) }})
+	s := Serve(listener, "", m, Limits{Peers: most, OnRefused: func() { refused.Add(1) }})
 	t.Cleanup(s.Close)
 	before := memoryInUse()
 	var group errgroup.Group
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -29,8 +29,8 @@
 
 var bytesMoved atomic.Int64
 
-// BytesMoved returns the bytes read and written by all connections of the process so far.
-func BytesMoved() int64 { return bytesMoved.Load() }
+// BytesTransferred returns the bytes read and written by all connections of the process so far.
+func BytesTransferred() int64 { return bytesMoved.Load() }
 
 type countedConn struct{ net.Conn }
 
@@ -54,8 +54,8 @@
 	Peers int
 	// RetryAfter is when a refused peer may return, 0 for DefaultRetryAfter.
 	RetryAfter time.Duration
-	// Refused is called for each connection that is refused, nil for no call.
-	Refused func()
+	// OnRefused is called for each connection that is refused, nil for no call.
+	OnRefused func()
 }
 
 // ProcessLimits returns the limits of a process that is handed none: half of the descriptors that it may open.
@@ -186,8 +186,8 @@
 }
 
 func (s *Server) countRefusal() {
-	if s.limits.Refused != nil {
-		s.limits.Refused()
+	if s.limits.OnRefused != nil {
+		s.limits.OnRefused()
 	}
 }
 
--- a/internal/runner/candidates.go
+++ b/internal/runner/candidates.go
@@ -124,7 +124,7 @@
 	r.worker.cancelOrders()
 	if next.id.SameWorker(r.worker.id) {
 		// A renewal for the previous incarnation may have reached this one and set its lease by the other clock.
-		next.leaseEnd = now.Add(r.config.LongestHold)
+		next.leaseEnd = now.Add(r.config.MaxRenewal)
 	}
 	r.worker = next
 	for _, run := range r.lateStartRuns(next.id, now) {
--- a/internal/runner/candidates_test.go
+++ b/internal/runner/candidates_test.go
@@ -43,7 +43,7 @@
 		time.Sleep(time.Second)
 		report, _ = r.compose()
 		assert.Equal(t, report.Instance, "i-2")
-		assert.Assert(t, !report.Silent)
+		assert.Assert(t, !report.Unreachable)
 	})
 }
 
@@ -69,12 +69,12 @@
 		startLoops(t, r)
 		time.Sleep(time.Second)
 		report, _ := r.compose()
-		assert.Assert(t, report.Lapsed, "the runs of an ended incarnation are lost")
+		assert.Assert(t, report.LeaseExpired, "the runs of an ended incarnation are lost")
 		r.Reported(host.Report{Incarnation: incarnation.New("i-2", 0), Sequence: 1})
 		time.Sleep(time.Second)
 		report, _ = r.compose()
 		assert.Equal(t, report.Instance, "i-2")
-		assert.Assert(t, !report.Lapsed)
+		assert.Assert(t, !report.LeaseExpired)
 	})
 }
 
@@ -130,7 +130,7 @@
 		}
 		report, _ := r.compose()
 		assert.Equal(t, report.Instance, "i-2")
-		assert.Assert(t, !report.Silent)
+		assert.Assert(t, !report.Unreachable)
 	})
 }
 
--- a/internal/runner/discovery.go
+++ b/internal/runner/discovery.go
@@ -34,7 +34,7 @@
 
 // findLeader returns the leader, preferably with a later epoch than the given one. It asks entries, and reads the store only if none answers.
 func (r *Runner) findLeader(ctx context.Context, after uint64) (foundLeader, error) {
-	leader, err := r.queryEntries(ctx, link.Leader{After: after})
+	leader, err := r.queryEntries(ctx, link.LeaderRequest{After: after})
 	if err == nil || !fault.Is(err, fault.NotFound) {
 		return leader, err
 	}
@@ -47,13 +47,13 @@
 
 // queryEntries asks some entries for a leader of a later epoch than the request's and returns the latest that any of them knows. The error is
 // of kind NotFound if no entry answered, and Unavailable if those that answered know no leader.
-func (r *Runner) queryEntries(ctx context.Context, request link.Leader) (foundLeader, error) {
+func (r *Runner) queryEntries(ctx context.Context, request link.LeaderRequest) (foundLeader, error) {
 	var latest foundLeader
 	kind := fault.NotFound
 	err := r.config.Pool.Try(ctx, maxEntriesAsked, func(p *rpc.Peer) error {
 		bounded, cancel := context.WithTimeout(ctx, entryTimeout)
 		defer cancel()
-		answer, err := rpc.Call[link.Leader, link.LeaderAnswer](bounded, p, link.MethodLeader, request)
+		answer, err := rpc.Call[link.LeaderRequest, link.LeaderAnswer](bounded, p, link.MethodLeader, request)
 		switch {
 		case fault.Is(err, fault.Unavailable):
 			kind = fault.Unavailable
@@ -62,7 +62,7 @@
 			return err
 		}
 		if answer.Epoch > latest.Epoch {
-			latest.Leader = record.Leader{Process: answer.Node, Address: answer.Address, Epoch: answer.Epoch}
+			latest.Leader = record.Leader{Process: answer.Process, Address: answer.Address, Epoch: answer.Epoch}
 			latest.agents = answer.Agents
 		}
 		if answer.Epoch <= request.After {
--- a/internal/runner/fences_test.go
+++ b/internal/runner/fences_test.go
@@ -117,7 +117,7 @@
 		go func() { _ = r.renewLoop(ctx) }()
 		time.Sleep(2 * renewalWait)
 		report, _ := r.compose()
-		assert.Assert(t, report.Fenced && !report.Silent)
+		assert.Assert(t, report.Fenced && !report.Unreachable)
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/runner/incarnation_test.go
+++ b/internal/runner/incarnation_test.go
@@ -64,7 +64,7 @@
 		report, _ := r.compose()
 		assert.Equal(t, report.Incarnation(), secondIncarnation)
 		assert.Equal(t, len(report.Running)+len(report.Ended), 0)
-		assert.Assert(t, report.Fenced && !report.Draining && !report.Silent)
+		assert.Assert(t, report.Fenced && !report.Draining && !report.Unreachable)
 		assert.Equal(t, r.worker.acknowledgedEnds, uint64(0))
 		assert.Equal(t, r.worker.report.Sequence, uint64(1))
 		assert.Assert(t, r.worker.clock < host.Clock(time.Minute))
@@ -166,13 +166,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
 		r := newIncarnationTest(t, worker)
-		r.config.LongestHold = 10 * time.Second
+		r.config.MaxRenewal = 10 * time.Second
 		restartWorker(r, worker)
 		r.worker.silent = true
 		time.Sleep(8 * time.Second)
 		r.worker.silent = true
 		report, _ := r.compose()
-		assert.Assert(t, !report.Lapsed)
+		assert.Assert(t, !report.LeaseExpired)
 	})
 }
 
@@ -186,7 +186,7 @@
 			time.Sleep(time.Second)
 			report, _ := r.compose()
 			assert.Equal(t, report.Incarnation(), firstIncarnation)
-			assert.Assert(t, !report.Silent)
+			assert.Assert(t, !report.Unreachable)
 		}
 	})
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -24,14 +24,14 @@
 type Config struct {
 	VM   string
 	Hall string
-	// ClosedWithin is the time after which nothing may start in a hall that the operators have closed.
-	ClosedWithin time.Duration
-	// LongestHold is the longest lease that the worker grants its runs.
-	LongestHold time.Duration
-	Worker      host.Worker
-	Store       *relay.Store
-	Pool        *relay.Pool
-	Clock       *timeline.Clock
+	// ClosureDelay is the time after which nothing may start in a hall that the operators have closed.
+	ClosureDelay time.Duration
+	// MaxRenewal is the longest lease that the worker grants its runs.
+	MaxRenewal time.Duration
+	Worker     host.Worker
+	Store      *relay.Store
+	Pool       *relay.Pool
+	Clock      *timeline.Clock
 	// Dial connects to the leader.
 	Dial rpc.Dialer
 	// Uptime is the clock of leases and hall states; it counts time spent suspended.
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -36,7 +36,7 @@
 
 // newTest returns an agent that follows epoch 3 and has a worker and an agent lease of 5 seconds.
 func newTest(worker *fakeWorker) *Runner {
-	r := New(Config{VM: "vm", ClosedWithin: testClosedWithin, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Random: func() float64 { return 0.5 }, Metrics: metric.New()})
+	r := New(Config{VM: "vm", ClosureDelay: testClosedWithin, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Random: func() float64 { return 0.5 }, Metrics: metric.New()})
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Capacity: job.Size{CPU: 4000, Memory: 1000}, Sequence: 1})
 	r.epoch = 3
 	r.fences.grant(3, 3, 3)
@@ -169,15 +169,15 @@
 		time.Sleep(silentAfter + time.Millisecond)
 		r.recordFailedRenewal(testID, time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
 		report, _ := r.compose()
-		assert.Assert(t, report.Silent && !report.Lapsed)
+		assert.Assert(t, report.Unreachable && !report.LeaseExpired)
 		_, renewal, _ := r.nextRenewal()
 		assert.Equal(t, renewal.Until, host.Clock(0))
 		time.Sleep(runLease)
 		report, _ = r.compose()
-		assert.Assert(t, report.Lapsed)
+		assert.Assert(t, report.LeaseExpired)
 		r.recordRenewal(context.Background(), testID, host.Renewal{}, host.View{})
 		report, _ = r.compose()
-		assert.Assert(t, !report.Silent)
+		assert.Assert(t, !report.Unreachable)
 	})
 }
 
--- a/internal/runner/uplink.go
+++ b/internal/runner/uplink.go
@@ -90,7 +90,7 @@
 		reported = true
 		if unverified && time.Since(checkedAt) > leaderCheckInterval {
 			checkedAt = time.Now()
-			if latest, err := r.queryEntries(ctx, link.Leader{After: leader.Epoch, AtOnce: true}); err == nil && latest.Epoch > leader.Epoch {
+			if latest, err := r.queryEntries(ctx, link.LeaderRequest{After: leader.Epoch, AtOnce: true}); err == nil && latest.Epoch > leader.Epoch {
 				return reported, fault.New(fault.Stale, "leader of epoch %d replaced that of %d", latest.Epoch, leader.Epoch)
 			}
 		}
@@ -130,16 +130,16 @@
 
 // compact replaces the running runs of a report by rows if the leader reads them.
 func (u *uplink) compact(report *link.Report) {
-	report.List = u.entryList
+	report.EntriesVersion = u.entryList
 	if u.rowWriter != nil {
-		report.Rows, report.Named = u.rowWriter.Write(report.Running)
+		report.Rows, report.RowNames = u.rowWriter.Write(report.Running)
 		report.Running = nil
 	}
 }
 
 // applyAnswer updates the connection from the leader's answer.
 func (u *uplink) applyAnswer(answer link.ReportAnswer) {
-	u.entryList = answer.List
+	u.entryList = answer.EntriesVersion
 	if u.entryList > 0 && u.rowWriter == nil {
 		u.rowWriter = link.NewRowWriter()
 	}
@@ -158,7 +158,7 @@
 	}
 	u.applyAnswer(answer)
 	if len(answer.Entries) > 0 {
-		r.config.Pool.Learn(answer.Entries)
+		r.config.Pool.Add(answer.Entries)
 	}
 	r.config.Worker.LimitConnections(answer.Connections)
 	r.mu.Lock()
@@ -233,8 +233,8 @@
 	report.Instance, report.StartMillis, report.Service, report.Labels = w.id.Worker(), w.id.StartMillis(), latest.Service, latest.Labels
 	report.CPU, report.Memory, report.GPU = latest.Capacity.CPU, latest.Capacity.Memory, latest.Capacity.GPU
 	report.Draining, report.RemainingMillis = latest.Draining, latest.Remaining.Milliseconds()
-	report.Silent, report.FirstFailureMillis = w.silent, millisSince(w.firstFailure)
-	report.Lapsed = w.silent && (w.idChanged || time.Now().After(w.leaseEnd))
+	report.Unreachable, report.FirstFailureMillis = w.silent, millisSince(w.firstFailure)
+	report.LeaseExpired = w.silent && (w.idChanged || time.Now().After(w.leaseEnd))
 	report.Fenced = w.views > 0 && r.fences.covers(w.highestFence, r.epoch)
 	w.addRuns(&report)
 	return report, w
@@ -252,11 +252,11 @@
 	for _, running := range w.view.Running {
 		listed[running.Run] = true
 		if _, known := w.profiles[running.Run]; !known {
-			report.Unknown = append(report.Unknown, wireRun(running.Run))
+			report.MissingProfiles = append(report.MissingProfiles, wireRun(running.Run))
 		}
 		report.Running = append(report.Running, link.Running{
 			Run: wireRun(running.Run), Percent: running.Percent, Measurement: running.Measurement,
-			Pace: w.paceOf(running.Run), Checkpoint: running.Checkpoint, Fresh: w.possibleRuns.fresh(running.Run),
+			Pace: w.paceOf(running.Run), Checkpoint: running.Checkpoint, Starting: w.possibleRuns.fresh(running.Run),
 		})
 	}
 	for run, o := range w.orders {
--- a/internal/runner/uplink_test.go
+++ b/internal/runner/uplink_test.go
@@ -22,9 +22,9 @@
 			} else {
 				assert.Equal(t, len(report.Rows), rows)
 				assert.Equal(t, len(report.Running), 1-rows)
-				assert.Equal(t, report.List, list)
+				assert.Equal(t, report.EntriesVersion, list)
 			}
-			u.applyAnswer(link.ReportAnswer{List: list})
+			u.applyAnswer(link.ReportAnswer{EntriesVersion: list})
 		}
 	}
 }
--- a/internal/scheduling/plan.go
+++ b/internal/scheduling/plan.go
@@ -115,7 +115,7 @@
 	for i, w := range p.workers {
 		p.candidates[i] = placement.NewCandidate(w.capacity, w.capacity.Sub(used[i]), w.rack)
 		p.candidates[i].Close(w.closed)
-		if w.batchBlocked && !p.options.NoPressure {
+		if w.batchBlocked && !p.options.NoBatchBlocking {
 			p.candidates[i].BlockBatch()
 		}
 	}
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -61,10 +61,10 @@
 
 // Options disable parts of the plan, so that a simulation can measure their effect; the zero value enables all.
 type Options struct {
-	NoSizing       bool
-	NoInterference bool
-	NoFairness     bool
-	NoPressure     bool
+	NoSizing        bool
+	NoInterference  bool
+	NoFairness      bool
+	NoBatchBlocking bool
 	// ServicesOnly leaves batch tasks unplaced.
 	ServicesOnly bool
 }
--- a/internal/settings/list.go
+++ b/internal/settings/list.go
@@ -28,8 +28,8 @@
 // Allowed returns what may be given.
 func (s Setting) Allowed() string { return s.allowed }
 
-// About returns what the setting does.
-func (s Setting) About() string { return s.about }
+// Description returns what the setting does.
+func (s Setting) Description() string { return s.about }
 
 // IsOptional reports whether nothing need be given.
 func (s Setting) IsOptional() bool { return s.optional }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -151,11 +151,11 @@
 // Lease returns how long the lease of a cell lasts.
 func (s *Settings) Lease() time.Duration { return s.lead.lease }
 
-// Window returns how long a lead gathers changes for one commit.
-func (s *Settings) Window() time.Duration { return s.lead.window }
+// CommitWindow returns how long a lead gathers changes for one commit.
+func (s *Settings) CommitWindow() time.Duration { return s.lead.window }
 
-// LeadList returns how often a lead reads the list of VMs.
-func (s *Settings) LeadList() time.Duration { return s.lead.list }
+// LeaderList returns how often a lead reads the list of VMs.
+func (s *Settings) LeaderList() time.Duration { return s.lead.list }
 
 // CommitRate returns how many bytes a second a lead's commits write on average.
 func (s *Settings) CommitRate() int { return s.lead.commitRate }
--- a/internal/table/column.go
+++ b/internal/table/column.go
@@ -33,8 +33,8 @@
 // Default returns what an empty cell means, empty where one must be given.
 func (c Column) Default() string { return c.fallback }
 
-// About returns what the knob does.
-func (c Column) About() string { return c.about }
+// Description returns what the knob does.
+func (c Column) Description() string { return c.about }
 
 // Kinds returns the kinds of rows that the knob applies to.
 func (c Column) Kinds() []Kind { return c.kinds }
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -7,33 +7,33 @@
 
 // The kinds of events.
 const (
-	ProcessStarted  Kind = iota // process_started
-	ProcessStopping             // process_stopping
-	LeadTaken                   // lead_taken
-	LeadLost                    // lead_lost
-	JobAccepted                 // job_accepted
-	JobFinished                 // job_finished
-	JobCanceled                 // job_canceled
-	TaskAssigned                // task_assigned
-	TaskStarted                 // task_started
-	TaskRefused                 // task_refused
-	TaskThrottled               // task_throttled
-	TaskEvicting                // task_evicting
-	TaskEvicted                 // task_evicted
-	TaskFinished                // task_finished
-	TaskFailed                  // task_failed
-	TaskLost                    // task_lost
-	TaskStopped                 // task_stopped
-	TableAccepted               // table_accepted
-	TableSeen                   // table_seen
-	EndpointEjected             // endpoint_ejected
-	EndpointLeaving             // endpoint_leaving
-	KeysTaken                   // keys_taken
-	WorkerProbation             // worker_probation
-	StoreLost                   // store_lost
-	StoreBack                   // store_back
-	RequestRefused              // request_refused
-	RequestInDoubt              // request_in_doubt
+	ProcessStarted        Kind = iota // process_started
+	ProcessStopping                   // process_stopping
+	LeadershipAcquired                // lead_taken
+	LeadershipLost                    // lead_lost
+	JobAccepted                       // job_accepted
+	JobFinished                       // job_finished
+	JobCanceled                       // job_canceled
+	TaskAssigned                      // task_assigned
+	TaskStarted                       // task_started
+	TaskRefused                       // task_refused
+	TaskThrottled                     // task_throttled
+	TaskEvicting                      // task_evicting
+	TaskEvicted                       // task_evicted
+	TaskFinished                      // task_finished
+	TaskFailed                        // task_failed
+	TaskLost                          // task_lost
+	TaskStopped                       // task_stopped
+	TableAccepted                     // table_accepted
+	TableChanged                      // table_seen
+	EndpointEjected                   // endpoint_ejected
+	EndpointLeaving                   // endpoint_leaving
+	KeySlotsAcquired                  // keys_taken
+	WorkerProbation                   // worker_probation
+	StoreUnreachable                  // store_lost
+	StoreReachable                    // store_back
+	RequestRefused                    // request_refused
+	RequestOutcomeUnknown             // request_in_doubt
 	kindCount
 )
 
--- a/internal/timeline/wire.go
+++ b/internal/timeline/wire.go
@@ -1,7 +1,7 @@
 package timeline
 
-// Wire is an event as it travels between processes and to programs.
-type Wire struct {
+// WireEvent is an event as it travels between processes and to programs.
+type WireEvent struct {
 	Stamp   uint64 `json:"stamp"`
 	Millis  int64  `json:"unix_ms"`
 	Process string `json:"process"`
@@ -13,10 +13,10 @@
 }
 
 // Encode returns the events as they travel.
-func Encode(events []Event) []Wire {
-	wires := make([]Wire, 0, len(events))
+func Encode(events []Event) []WireEvent {
+	wires := make([]WireEvent, 0, len(events))
 	for _, e := range events {
-		wires = append(wires, Wire{
+		wires = append(wires, WireEvent{
 			Stamp: uint64(e.stamp), Millis: e.stamp.Millis(), Process: e.process, Kind: e.kind.String(),
 			Task: e.task, Worker: e.worker, Request: e.request, Text: e.text,
 		})
@@ -25,7 +25,7 @@
 }
 
 // Decode returns the events that travelled; a kind that is not on the list becomes ProcessStarted.
-func Decode(wires []Wire) []Event {
+func Decode(wires []WireEvent) []Event {
 	events := make([]Event, 0, len(wires))
 	for _, w := range wires {
 		events = append(events, NewEvent(Stamp(w.Stamp), w.Process, parseKind(w.Kind), w.Task, w.Worker, w.Request, w.Text))
--- a/proving/cmd/docs/main.go
+++ b/proving/cmd/docs/main.go
@@ -44,7 +44,7 @@
 			kinds = append(kinds, k.String())
 		}
 		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | %s |\n", c.Name(), strings.Join(kinds, ", "), or(c.Unit(), "-"),
-			c.Allowed(), or(c.Default(), "must be given"), c.About())
+			c.Allowed(), or(c.Default(), "must be given"), c.Description())
 	}
 	return out.String()
 }
@@ -60,7 +60,7 @@
 		if s.IsOptional() {
 			fallback = "may be left out"
 		}
-		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | `%s` |\n", s.Key(), or(s.Roles(), "all"), s.Allowed(), fallback, s.About(), s.Environment())
+		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | `%s` |\n", s.Key(), or(s.Roles(), "all"), s.Allowed(), fallback, s.Description(), s.Environment())
 	}
 	return out.String()
 }
--- a/proving/decision/column.go
+++ b/proving/decision/column.go
@@ -43,7 +43,7 @@
 		{name: "evict on breach", placer: leastLoaded, noThrottle: true, evictBreach: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "ours without sizing", options: scheduling.Options{NoSizing: true}},
 		{name: "ours without interference", options: scheduling.Options{NoInterference: true}},
-		{name: "ours without pressure", options: scheduling.Options{NoPressure: true}},
+		{name: "ours without pressure", options: scheduling.Options{NoBatchBlocking: true}},
 		{name: "ours without fairness", options: scheduling.Options{NoFairness: true}},
 		{name: "ours without throttle", noThrottle: true},
 		{name: "ours without eviction", noEvict: true},
--- a/proving/fleet/disturbances.go
+++ b/proving/fleet/disturbances.go
@@ -54,9 +54,9 @@
 		<-time.After(d)
 		f.store.SetDelay(0)
 	}},
-	{"answers of commits lost", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.Lost) }},
+	{"answers of commits lost", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.AnswerLost) }},
 	{"commits late", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.Late) }},
-	{"commits not done", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.Unsent) }},
+	{"commits not done", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.RequestLost) }},
 	{"entry cut from the store", func(f *Fleet, n int, d time.Duration) {
 		mute(f.storeRelays[f.entry(n).name], relay.Towards|relay.Back, d)
 	}},
@@ -114,9 +114,9 @@
 }
 
 // lose lets a part of the commits come to grief for a while.
-func (f *Fleet) lose(n int, d time.Duration, trouble kvtest.Trouble) {
+func (f *Fleet) lose(n int, d time.Duration, trouble kvtest.Failure) {
 	random := rand.New(rand.NewPCG(uint64(n), 3))
-	f.store.SetTrouble(func() kvtest.Trouble {
+	f.store.SetTrouble(func() kvtest.Failure {
 		if random.IntN(3) == 0 {
 			return trouble
 		}
--- a/proving/fleet/store.go
+++ b/proving/fleet/store.go
@@ -71,24 +71,24 @@
 }
 
 // SetTrouble makes the store ask what happens to each commit; nil ends that and does what is late.
-func (s *Store) SetTrouble(trouble func() kvtest.Trouble) {
-	s.data.SetTrouble(trouble)
+func (s *Store) SetTrouble(trouble func() kvtest.Failure) {
+	s.data.SetFailure(trouble)
 	if trouble == nil {
-		s.data.Catch()
+		s.data.ApplyLate()
 	}
 }
 
 // Forget drops the history, so that watches have to begin anew.
-func (s *Store) Forget() { s.data.Forget() }
+func (s *Store) Forget() { s.data.DropHistory() }
 
 // Put writes a key as the operators do.
 func (s *Store) Put(key string, value []byte) error {
-	return s.data.Operate(kv.Txn{Puts: []kv.Put{{Key: key, Value: value}}})
+	return s.data.CommitAsOperator(kv.Txn{Puts: []kv.Put{{Key: key, Value: value}}})
 }
 
 // Remove removes a key as the operators do.
 func (s *Store) Remove(key string) error {
-	return s.data.Operate(kv.Txn{Removes: []string{key}})
+	return s.data.CommitAsOperator(kv.Txn{Removes: []string{key}})
 }
 
 // wireItem is an item as the platform writes it.
@@ -190,7 +190,7 @@
 	}
 	found := make([]wireItem, 0, len(events))
 	for _, e := range events {
-		found = append(found, wireOf(e.Item(), e.Gone()))
+		found = append(found, wireOf(e.Item(), e.Removed()))
 	}
 	write(ctx, map[string]any{"events": found, "at": uint64(at)})
 }
--- a/proving/stage/await.go
+++ b/proving/stage/await.go
@@ -174,7 +174,7 @@
 }
 
 func (r *region) leadHolds(not string) error {
-	if len(r.Cells) == 0 || len(r.Unreachable) > 0 || r.Cells[0].Lead == not {
+	if len(r.Cells) == 0 || len(r.Unreachable) > 0 || r.Cells[0].Leader == not {
 		return fmt.Errorf("no new lead yet: %v", r.Unreachable)
 	}
 	return nil
