--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,21 +24,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// Timing holds the waits of an agent.
+// Timing holds the intervals, leases and timeouts of an agent.
 type Timing struct {
-	// Heartbeat is how often the lead is told that nothing changed.
+	// Heartbeat is the interval of heartbeats without changes.
 	Heartbeat time.Duration
-	// Reconcile is how often the worker is compared with what is wanted.
+	// Reconcile is the interval at which the worker is compared with the desired runs.
 	Reconcile time.Duration
-	// TaskLease is how long a task runs on when its agent does not renew it.
+	// TaskLease is how long a task continues without a renewal by its agent.
 	TaskLease time.Duration
-	// Drain is how long requests in flight may take at a planned stop.
+	// Drain bounds the requests in flight at a planned stop.
 	Drain time.Duration
-	// Measure is how often latency and usage are looked at.
+	// Measure is the interval at which latency and usage are measured.
 	Measure time.Duration
 }
 
-// Config is what an agent needs of its process.
+// Config holds the settings and dependencies of an agent.
 type Config struct {
 	ID       string
 	Boot     string
@@ -58,68 +58,68 @@
 	Recorder *timeline.Recorder
 }
 
-// Agent is the process beside an endpoint.
+// Agent manages the worker of one VM for the leader of its cell.
 type Agent struct {
 	Config
-	gate        *gate.Gate
-	mux         *rpc.Mux
-	description worker.Description
-	ledger      *ledger.Ledger
-	done        chan struct{}
-	poke        chan struct{}
-	beatNow     chan struct{}
-
-	mu       sync.Mutex
-	ready    bool
-	leaving  bool
-	stopping bool
-	desired  control.Desired
-	fresh    bool
-	applied  control.Position
-	runs     map[task.Run]*run
-	latency  map[string]control.Latency
-	usage    map[task.Run]worker.Usage
-	weights  map[string]int
-	evict    bool
-	remedies remedy.State
-	model    *interference.Model
-	lead     *leader.Leader
-	sent     sentState
-	leading  sync.WaitGroup
+	gate         *gate.Gate
+	mux          *rpc.Mux
+	description  worker.Description
+	ledger       *ledger.Ledger
+	done         chan struct{}
+	reconcileNow chan struct{}
+	heartbeatNow chan struct{}
+
+	mu              sync.Mutex
+	ready           bool
+	leaving         bool
+	stopping        bool
+	desired         control.Desired
+	desiredReceived bool
+	applied         control.Position
+	runs            map[task.Run]*run
+	latency         map[string]control.Latency
+	usage           map[task.Run]worker.Usage
+	weights         map[string]int
+	evictRequested  bool
+	remedies        remedy.State
+	model           *interference.Model
+	leader          *leader.Leader
+	sent            sentState
+	leaderRuns      sync.WaitGroup
 }
 
-// New returns an agent that has not begun.
+// New returns an agent that is not running yet.
 func New(config Config) *Agent {
 	a := &Agent{
-		Config:  config,
-		gate:    gate.New(gate.Config{Secret: config.Secret, Boot: config.Boot, Clock: config.Clock}),
-		done:    make(chan struct{}),
-		poke:    make(chan struct{}, 1),
-		beatNow: make(chan struct{}, 1),
-		runs:    make(map[task.Run]*run),
-		latency: make(map[string]control.Latency),
-		usage:   make(map[task.Run]worker.Usage),
-		weights: make(map[string]int),
-		model:   interference.New(),
+		Config:       config,
+		gate:         gate.New(gate.Config{Secret: config.Secret, Boot: config.Boot, Clock: config.Clock}),
+		done:         make(chan struct{}),
+		reconcileNow: make(chan struct{}, 1),
+		heartbeatNow: make(chan struct{}, 1),
+		runs:         make(map[task.Run]*run),
+		latency:      make(map[string]control.Latency),
+		usage:        make(map[task.Run]worker.Usage),
+		weights:      make(map[string]int),
+		model:        interference.New(),
 	}
 	a.mux = a.newMux()
 	return a
 }
 
-// Gate returns the agent's side of the request path.
+// Gate returns the gate that admits requests to the local replicas.
 func (a *Agent) Gate() *gate.Gate { return a.gate }
 
-// Done returns the channel that is closed when the agent has ended.
+// Done returns a channel that is closed when Run returns.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// Ready reports whether the agent knows its worker and has heard a lead.
+// Ready reports whether the agent has adopted its worker's runs and applied the desired runs of a leader.
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ready && a.applied.Epoch > 0
 }
 
-// Run works until ctx ends, and then leaves its requests and its tasks in good order.
+// Run runs the agent until ctx ends, then drains its requests and extends the leases of its tasks.
 func (a *Agent) Run(ctx context.Context) error {
 	defer close(a.done)
 	if err := a.adopt(ctx); err != nil {
@@ -127,30 +127,30 @@
 	}
 	server := rpc.Serve(a.Control, a.Secret, a.mux, rpc.ProcessLimits())
 	defer server.Close()
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	group, work := errgroup.WithContext(work)
-	group.Go(func() error { return a.reconcileLoop(work) })
-	group.Go(func() error { return a.uplinkLoop(work) })
-	group.Go(func() error { return a.measureLoop(work) })
+	group, workCtx := errgroup.WithContext(workCtx)
+	group.Go(func() error { return a.reconcileLoop(workCtx) })
+	group.Go(func() error { return a.leaderLoop(workCtx) })
+	group.Go(func() error { return a.measureLoop(workCtx) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-			a.stop(work)
+			a.stop(workCtx)
 			cancel()
-		case <-work.Done():
+		case <-workCtx.Done():
 		}
 		return nil
 	})
 	err := group.Wait()
-	a.leading.Wait()
+	a.leaderRuns.Wait()
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// adopt reads what the worker has and runs before anything is admitted.
+// adopt reads the worker's capacity and runs before any new run is admitted, and retries until the worker answers.
 func (a *Agent) adopt(ctx context.Context) error {
 	for {
 		err := a.tryAdopt(ctx)
@@ -158,9 +158,9 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return fault.Wrap(err, fault.Unavailable, "stopped before the worker answered")
+			return fault.Wrap(err, fault.Unavailable, "the agent stopped before the worker answered")
 		}
-		a.Logger.Warn("the worker does not answer yet: %v", err)
+		a.Logger.Warn("the worker does not answer; retrying: %v", err)
 		store.Pause(ctx, time.Second)
 	}
 }
@@ -182,7 +182,7 @@
 		if !s.State().IsFinal() {
 			a.ledger.Adopt(s.Run(), s.Size())
 		}
-		a.runs[s.Run()] = &run{started: true, began: time.Now(), adopted: true, status: s}
+		a.runs[s.Run()] = &run{started: true, startedAt: time.Now(), adopted: true, status: s}
 	}
 	if len(statuses) == 0 {
 		a.gate.SetFresh()
@@ -192,30 +192,30 @@
 	return nil
 }
 
-// stop refuses new requests, tells the lead, and waits for those in flight; tasks stay with the worker.
+// stop refuses new requests, reports the stop to the leader, and waits for the requests in flight; tasks continue on the worker.
 func (a *Agent) stop(ctx context.Context) {
-	a.Logger.Info("stopping, and finishing %d requests", a.gate.Open())
+	a.Logger.Info("stopping; finishing %d requests in flight", a.gate.Open())
 	a.Recorder.Record(timeline.ProcessStopping, timeline.Subject{Worker: a.description.Instance()}, "the agent stops")
 	a.gate.Leave()
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
-	a.beatSoon()
-	// Entries that have not heard of the stop get a typed refusal in the meantime.
+	a.heartbeatSoon()
+	// Requests of entries that have not received the stop yet are refused with the error kind Leaving.
 	store.Pause(ctx, leaveGrace)
-	end := time.Now().Add(a.Timing.Drain)
-	for a.gate.Open() > 0 && time.Now().Before(end) {
-		store.Pause(ctx, drainPoll)
+	deadline := time.Now().Add(a.Timing.Drain)
+	for a.gate.Open() > 0 && time.Now().Before(deadline) {
+		store.Pause(ctx, drainPollInterval)
 	}
 	a.extendLeases(ctx)
 }
 
 const (
-	leaveGrace = 300 * time.Millisecond
-	drainPoll  = 20 * time.Millisecond
+	leaveGrace        = 300 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
-func (a *Agent) beatSoon() { notify(a.beatNow) }
+func (a *Agent) heartbeatSoon() { notify(a.heartbeatNow) }
 
 func notify(c chan struct{}) {
 	select {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,12 +18,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// adopted returns an agent whose worker, of 8 processors, runs a task of 6 from before.
-func adopted(t *testing.T) (*Agent, *fakeWorker) {
+// newAdoptedAgent returns an agent that has adopted a task of 6 processors on its worker of 8.
+func newAdoptedAgent(t *testing.T) (*Agent, *fakeWorker) {
 	t.Helper()
-	f := &fakeWorker{instance: "vm-0", runs: make(map[task.Run]worker.Status), world: &world{}}
-	old := task.NewRun(task.NewID("old", 0), 1)
-	f.runs[old] = worker.NewStatus(old, "mailing", task.Running, resource.New(6000, 100, 0))
+	f := &fakeWorker{instance: "vm-0", runs: make(map[task.Run]worker.Status), model: &clusterModel{}}
+	adopted := task.NewRun(task.NewID("old", 0), 1)
+	f.runs[adopted] = worker.NewStatus(adopted, "mailing", task.Running, resource.New(6000, 100, 0))
 	clock := timeline.NewClock(time.Now)
 	a := New(Config{Boot: "boot", Worker: f, Logger: logging.Discard(), Clock: clock, Recorder: timeline.NewRecorder(clock, "x", 8)})
 	assert.NilError(t, a.tryAdopt(t.Context()))
@@ -39,58 +39,58 @@
 	return d
 }
 
-func TestWhatTheWorkerRunsIsCountedBeforeAnythingIsAdmitted(t *testing.T) {
-	a, f := adopted(t)
-	f.world.starts = make(map[task.Run]int)
-	_, err := a.takeDesired(t.Context(), nil, desired(control.Position{Epoch: 1, Revision: 1}, "boot", "old", "new"))
+func TestAdoptedRunsCountBeforeNewRunsAreAdmitted(t *testing.T) {
+	a, f := newAdoptedAgent(t)
+	f.model.starts = make(map[task.Run]int)
+	_, err := a.acceptDesired(t.Context(), nil, desired(control.Position{Epoch: 1, Revision: 1}, "boot", "old", "new"))
 	assert.NilError(t, err)
 	a.startWanted(t.Context())
-	a.takeWanted()
+	a.markWanted()
 	a.startWanted(t.Context())
 	assert.Equal(t, len(f.runs), 1)
-	message, _ := a.compose(true)
+	message, _ := a.composeHeartbeat(true)
 	assert.Equal(t, len(message.Reports), 1)
 	assert.Equal(t, message.Reports[0].State, task.Refused.String())
 }
 
-// change is a message that takes the run "a" away and adds "b".
-func change(base, position control.Position) control.Desired {
+// desiredChange returns a message that removes the run "a" and adds "b".
+func desiredChange(base, position control.Position) control.Desired {
 	d := desired(position, "boot", "b")
 	d.Base, d.Removed = base, []control.Run{{Job: "a", Incarnation: 1}}
 	return d
 }
 
-func TestChangeIsMerged(t *testing.T) {
+func TestDesiredChangeIsMerged(t *testing.T) {
 	first, second := control.Position{Epoch: 1, Revision: 1}, control.Position{Epoch: 1, Revision: 2}
-	got := merged(desired(first, "boot", "a", "c"), change(first, second))
+	got := mergeDesired(desired(first, "boot", "a", "c"), desiredChange(first, second))
 	assert.Equal(t, len(got.Runs), 2)
 	assert.Equal(t, got.Runs[0].Run.Job, "b")
 	assert.Equal(t, got.Runs[1].Run.Job, "c")
 	assert.Assert(t, got.IsFull() && got.Position == second)
 }
 
-func TestTakeDesired(t *testing.T) {
-	now := control.Position{Epoch: 2, Revision: 5}
+func TestAcceptDesired(t *testing.T) {
+	current := control.Position{Epoch: 2, Revision: 5}
 	cases := []struct {
 		name string
 		d    control.Desired
 		want fault.Kind
 	}{
 		{"newer", desired(control.Position{Epoch: 2, Revision: 6}, "boot"), -1},
-		{"the same again", desired(now, "boot"), -1},
-		{"of a later lead", desired(control.Position{Epoch: 3, Revision: 1}, "boot"), -1},
+		{"the same again", desired(current, "boot"), -1},
+		{"of a later leader", desired(control.Position{Epoch: 3, Revision: 1}, "boot"), -1},
 		{"older", desired(control.Position{Epoch: 2, Revision: 4}, "boot"), fault.Stale},
-		{"of an earlier lead", desired(control.Position{Epoch: 1, Revision: 9}, "boot"), fault.Stale},
-		{"a change of what it has", change(now, control.Position{Epoch: 2, Revision: 6}), -1},
-		{"a change of another", change(control.Position{Epoch: 2, Revision: 4}, control.Position{Epoch: 2, Revision: 6}), fault.Stale},
-		{"meant for an earlier start", desired(control.Position{Epoch: 2, Revision: 6}, "before"), fault.Stale},
+		{"of an earlier leader", desired(control.Position{Epoch: 1, Revision: 9}, "boot"), fault.Stale},
+		{"a change of the current position", desiredChange(current, control.Position{Epoch: 2, Revision: 6}), -1},
+		{"a change of another position", desiredChange(control.Position{Epoch: 2, Revision: 4}, control.Position{Epoch: 2, Revision: 6}), fault.Stale},
+		{"for an earlier start of the agent", desired(control.Position{Epoch: 2, Revision: 6}, "before"), fault.Stale},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a, _ := adopted(t)
-			_, err := a.takeDesired(t.Context(), nil, desired(now, "boot"))
+			a, _ := newAdoptedAgent(t)
+			_, err := a.acceptDesired(t.Context(), nil, desired(current, "boot"))
 			assert.NilError(t, err)
-			_, err = a.takeDesired(t.Context(), nil, c.d)
+			_, err = a.acceptDesired(t.Context(), nil, c.d)
 			if c.want < 0 {
 				assert.NilError(t, err)
 				return
@@ -100,19 +100,19 @@
 	}
 }
 
-func TestAnswerOfALeadOfThePastIsRefused(t *testing.T) {
-	a, _ := adopted(t)
-	_, err := a.takeDesired(t.Context(), nil, desired(control.Position{Epoch: 2, Revision: 5}, "boot"))
+func TestAnswerOfEarlierLeaderIsRejected(t *testing.T) {
+	a, _ := newAdoptedAgent(t)
+	_, err := a.acceptDesired(t.Context(), nil, desired(control.Position{Epoch: 2, Revision: 5}, "boot"))
 	assert.NilError(t, err)
-	acked := control.HeartbeatAnswer{Known: true, Epoch: 1, Acked: []control.Run{{Job: "old", Incarnation: 1}}}
-	assert.Equal(t, fault.KindOf(a.takeAnswer(t.Context(), nil, acked, sentState{})), fault.Stale)
+	outdated := control.HeartbeatAnswer{Known: true, Epoch: 1, Acked: []control.Run{{Job: "old", Incarnation: 1}}}
+	assert.Equal(t, fault.KindOf(a.applyAnswer(t.Context(), nil, outdated, sentState{})), fault.Stale)
 	assert.Equal(t, len(a.runs), 1)
 }
 
-// A lead that waited for a slow store once answered an entry from a document that it did not have, and died of it.
-func TestLeadThatHasNotTakenOverAnswersNothing(t *testing.T) {
-	a, _ := adopted(t)
-	a.lead = leader.New(leader.Config{Cell: "h-0"})
+// A leader that was waiting for a slow store answered an entry's call before its document was loaded, and crashed.
+func TestLeaderRejectsCallsBeforeItIsReady(t *testing.T) {
+	a, _ := newAdoptedAgent(t)
+	a.leader = leader.New(leader.Config{Cell: "h-0"})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.Serve(listener, "secret", a.mux, rpc.ProcessLimits())
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,7 +1,8 @@
-// Package agent is the process beside an endpoint. It is the only writer of
-// what its VM is committed to: it starts, throttles, checkpoints and stops the
-// tasks that its cell's lead wants there, and may itself become the lead.
+// Package agent implements the process beside an endpoint. It is the only
+// writer of the VM's commitments: it starts, throttles, checkpoints and stops
+// the tasks that the leader of its cell assigns to the VM, and may itself
+// become the leader.
 //
-// Locks are taken in this order: Agent.mu, then the ledger's lock. No call
-// leaves the process while Agent.mu is held.
+// Lock order: Agent.mu, then the lock of the ledger. No call leaves the
+// process while Agent.mu is held.
 package agent
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -14,12 +14,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// fakeStore is a store in memory whose answers can be lost.
+// fakeStore is an in-memory store whose next write can fail or lose its answer.
 type fakeStore struct {
-	records map[string]store.Record
-	fail    fault.Kind
-	holder  string
-	until   time.Time
+	records    map[string]store.Record
+	failNext   fault.Kind
+	holder     string
+	leaseUntil time.Time
 }
 
 func (f *fakeStore) Get(_ context.Context, key string) (store.Record, error) {
@@ -27,8 +27,8 @@
 }
 
 func (f *fakeStore) Swap(_ context.Context, key string, from store.Version, value []byte) (store.Version, error) {
-	kind := f.fail
-	f.fail = fault.Internal
+	kind := f.failNext
+	f.failNext = fault.Internal
 	if kind == fault.Unavailable {
 		return 0, fault.New(fault.Unavailable, "down")
 	}
@@ -48,10 +48,10 @@
 
 func (f *fakeStore) Acquire(_ context.Context, _, holder string, ttl time.Duration) (store.Lease, error) {
 	now := time.Now()
-	if f.holder != holder && now.Before(f.until) {
-		return store.NewLease(f.holder, f.until.Sub(now)), fault.New(fault.Conflict, "held")
+	if f.holder != holder && now.Before(f.leaseUntil) {
+		return store.NewLease(f.holder, f.leaseUntil.Sub(now)), fault.New(fault.Conflict, "held")
 	}
-	f.holder, f.until = holder, now.Add(ttl)
+	f.holder, f.leaseUntil = holder, now.Add(ttl)
 	return store.NewLease(holder, ttl), nil
 }
 
@@ -59,13 +59,13 @@
 
 func (f *fakeStore) Release(context.Context, string, string) error { return nil }
 
-// fakeWorker is a worker in memory; it keeps the books by which the property judges.
+// fakeWorker is an in-memory worker; its runs are the state that the property checks.
 type fakeWorker struct {
-	instance string
-	dead     bool
-	lose     bool
-	runs     map[task.Run]worker.Status
-	world    *world
+	instance       string
+	lost           bool
+	loseNextAnswer bool
+	runs           map[task.Run]worker.Status
+	model          *clusterModel
 }
 
 func (f *fakeWorker) Describe(context.Context) (worker.Description, error) {
@@ -84,14 +84,14 @@
 	if _, ok := f.runs[order.Run()]; ok {
 		return nil
 	}
-	f.world.began(f, order)
+	f.model.checkStart(f, order)
 	status := worker.NewStatus(order.Run(), order.Workload(), task.Running, order.Size())
 	if order.IsService() {
 		status = status.WithAddress("127.0.0.1:1")
 	}
 	f.runs[order.Run()] = status
-	if f.lose {
-		f.lose = false
+	if f.loseNextAnswer {
+		f.loseNextAnswer = false
 		return fault.New(fault.OutcomeUnknown, "lost")
 	}
 	return nil
@@ -105,13 +105,13 @@
 	return f.end(r, task.Checkpointed)
 }
 
-// Stop checks that nobody wants the run any more, by the document as it is.
+// Stop checks that the run is not placed on this worker in the committed document.
 func (f *fakeWorker) Stop(_ context.Context, r task.Run) error {
-	d, err := cell.Decode(f.world.store.records[leader.DocumentKey("h-0")].Value())
-	f.world.must(err)
+	d, err := cell.Decode(f.model.store.records[leader.DocumentKey("h-0")].Value())
+	f.model.must(err)
 	for _, t := range d.PlacedOn(f.instance) {
-		if t.Run() == r && !f.world.scaled {
-			f.world.t.Fatalf("run %v is stopped on %s, where it is wanted", r, f.instance)
+		if t.Run() == r && !f.model.replicasEdited {
+			f.model.t.Fatalf("run %v is stopped on %s, where it is placed", r, f.instance)
 		}
 	}
 	return f.end(r, task.Stopped)
@@ -124,7 +124,7 @@
 
 func (f *fakeWorker) Usage(context.Context) ([]worker.Usage, error) { return nil, nil }
 
-// end ends a run that still runs.
+// end sets the final state of a run that has not ended.
 func (f *fakeWorker) end(r task.Run, state task.State) error {
 	s, ok := f.runs[r]
 	if !ok {
@@ -138,7 +138,7 @@
 		ended = ended.WithCheckpoint(fmt.Sprint("after-", r.Incarnation()))
 	}
 	if state == task.Finished {
-		f.world.finished[r.ID()]++
+		f.model.finished[r.ID()]++
 	}
 	f.runs[r] = ended
 	return nil
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -17,54 +17,54 @@
 )
 
 const (
-	beatTimeout = 2 * time.Second
-	searchFirst = 200 * time.Millisecond
-	searchMost  = 2 * time.Second
-	beatGap     = 100 * time.Millisecond
-	usageStep   = 1.2
+	heartbeatTimeout     = 2 * time.Second
+	minSearchDelay       = 200 * time.Millisecond
+	maxSearchDelay       = 2 * time.Second
+	minHeartbeatInterval = 100 * time.Millisecond
+	usageChangeFactor    = 1.2
 )
 
-// sentState is what the last answered beat told the lead; the lead does not need it again.
+// sentState is the content of the last heartbeat that the leader answered; the next heartbeat leaves out what is unchanged.
 type sentState struct {
 	statuses map[control.Run]control.Status
 	usage    map[task.Run]int64
 }
 
-// uplinkLoop looks for the lead of the cell, or becomes it, and beats while the lead answers.
-func (a *Agent) uplinkLoop(ctx context.Context) error {
-	wait := searchFirst
+// leaderLoop finds the leader of the cell or becomes it, and sends heartbeats to it until it stops answering.
+func (a *Agent) leaderLoop(ctx context.Context) error {
+	delay := minSearchDelay
 	for ctx.Err() == nil {
-		peer, address, err := a.findLead(ctx)
+		peer, address, err := a.connectToLeader(ctx)
 		if err != nil {
-			a.Logger.Debug("no lead yet: %v", err)
-			store.Pause(ctx, wait/2+time.Duration(rand.Int64N(int64(wait))))
-			wait = min(wait*2, searchMost)
+			a.Logger.Debug("no leader found: %v", err)
+			store.Pause(ctx, delay/2+time.Duration(rand.Int64N(int64(delay))))
+			delay = min(delay*2, maxSearchDelay)
 			continue
 		}
-		wait = searchFirst
-		a.beatLoop(ctx, peer, address)
+		delay = minSearchDelay
+		a.heartbeatLoop(ctx, peer, address)
 		peer.Close()
 	}
 	return ctx.Err()
 }
 
-// findLead connects to the holder of the cell's lease and returns its address too; where nobody holds it, the agent
-// tries to.
-func (a *Agent) findLead(ctx context.Context) (*rpc.Peer, string, error) {
+// connectToLeader connects to the holder of the cell's lease and returns the connection and the address; if the lease is
+// free, the agent campaigns for it.
+func (a *Agent) connectToLeader(ctx context.Context) (*rpc.Peer, string, error) {
 	name := leader.LeaseName(a.cell())
-	held, err := a.Store.Holder(ctx, name)
+	lease, err := a.Store.Holder(ctx, name)
 	if err != nil {
 		return nil, "", err
 	}
-	address := held.Holder()
+	address := lease.Holder()
 	if address == "" {
 		if err := a.campaign(ctx); err != nil {
 			return nil, "", err
 		}
 		address = a.Address
 	}
-	if address == a.Address && !a.leads() {
-		return nil, "", fault.New(fault.Unavailable, "the lease is this address's, from before")
+	if address == a.Address && !a.isLeader() {
+		return nil, "", fault.New(fault.Unavailable, "the lease is held by an earlier start of this agent")
 	}
 	peer, err := a.dial(ctx, address)
 	return peer, address, err
@@ -73,26 +73,26 @@
 func (a *Agent) cell() string { return vmlist.Cell(a.Hall, a.Rack) }
 
 func (a *Agent) dial(ctx context.Context, address string) (*rpc.Peer, error) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	return rpc.Dial(ctx, address, a.Secret, a.mux)
 }
 
-func (a *Agent) leads() bool {
+func (a *Agent) isLeader() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lead != nil
+	return a.leader != nil
 }
 
-// campaign tries to take the cell's lease, and leads the cell if it does.
+// campaign tries to acquire the cell's lease, and starts a leader if it succeeds.
 func (a *Agent) campaign(ctx context.Context) error {
 	a.mu.Lock()
-	able := a.lead == nil && !a.stopping && !a.leaving
+	eligible := a.leader == nil && !a.stopping && !a.leaving
 	a.mu.Unlock()
-	if !able {
-		return fault.New(fault.Unavailable, "this agent does not stand for lead")
+	if !eligible {
+		return fault.New(fault.Unavailable, "this agent is not a candidate for leader")
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	lease, err := a.Store.Acquire(ctx, leader.LeaseName(a.cell()), a.Address, a.Leader.Lease)
 	if err != nil {
 		return err
@@ -102,68 +102,68 @@
 		Logger: a.Logger.Named("lead"), Recorder: a.Recorder,
 	})
 	a.mu.Lock()
-	a.lead = l
+	a.leader = l
 	a.mu.Unlock()
-	a.leading.Go(func() { a.runLead(ctx, l, lease, asked) })
+	a.leaderRuns.Go(func() { a.runLeader(ctx, l, lease, requestedAt) })
 	return nil
 }
 
-func (a *Agent) runLead(ctx context.Context, l *leader.Leader, lease store.Lease, asked time.Time) {
-	err := l.Run(ctx, lease, asked)
-	a.Logger.Info("no longer the lead: %v", err)
+func (a *Agent) runLeader(ctx context.Context, l *leader.Leader, lease store.Lease, requestedAt time.Time) {
+	err := l.Run(ctx, lease, requestedAt)
+	a.Logger.Info("leadership ended: %v", err)
 	a.mu.Lock()
-	a.lead = nil
+	a.leader = nil
 	a.mu.Unlock()
-	// The end of a lead that knows it is one frees the lease for the next.
-	release, cancel := context.WithTimeout(context.WithoutCancel(ctx), beatTimeout)
+	// Releasing the lease lets the next leader acquire it before it expires.
+	releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), heartbeatTimeout)
 	defer cancel()
-	if err := a.Store.Release(release, leader.LeaseName(a.cell()), l.Address); err != nil {
+	if err := a.Store.Release(releaseCtx, leader.LeaseName(a.cell()), l.Address); err != nil {
 		a.Logger.Debug("cannot release the lease: %v", err)
 	}
 }
 
-// beatLoop beats until the lead no longer answers, or has lost its lease.
-func (a *Agent) beatLoop(ctx context.Context, peer *rpc.Peer, address string) {
+// heartbeatLoop sends heartbeats until the leader stops answering or has lost its lease.
+func (a *Agent) heartbeatLoop(ctx context.Context, peer *rpc.Peer, address string) {
 	a.mu.Lock()
 	a.sent = sentState{}
 	a.mu.Unlock()
-	introduce := true
+	full := true
 	failures := 0
 	for ctx.Err() == nil {
-		known, err := a.beat(ctx, peer, address, introduce)
+		known, err := a.sendHeartbeat(ctx, peer, address, full)
 		switch {
 		case err == nil:
-			introduce, failures = !known, 0
+			full, failures = !known, 0
 		case fault.Is(err, fault.Unavailable) && failures < 3:
 			failures++
 		default:
-			a.Logger.Debug("the lead does not answer: %v", err)
+			a.Logger.Debug("the leader does not answer: %v", err)
 			return
 		}
 		if known {
-			a.awaitBeat(ctx, peer)
+			a.awaitHeartbeat(ctx, peer)
 		} else {
-			store.Pause(ctx, beatGap)
+			store.Pause(ctx, minHeartbeatInterval)
 		}
 	}
 }
 
-// awaitBeat waits for the next beat's time, which is soon when there is news.
-func (a *Agent) awaitBeat(ctx context.Context, peer *rpc.Peer) {
+// awaitHeartbeat waits until the next heartbeat is due, which is after minHeartbeatInterval if there is a change to report.
+func (a *Agent) awaitHeartbeat(ctx context.Context, peer *rpc.Peer) {
 	timer := time.NewTimer(a.Timing.Heartbeat)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-peer.Done():
 	case <-timer.C:
-	case <-a.beatNow:
-		store.Pause(ctx, beatGap)
+	case <-a.heartbeatNow:
+		store.Pause(ctx, minHeartbeatInterval)
 	}
 }
 
-func (a *Agent) beat(ctx context.Context, peer *rpc.Peer, address string, introduce bool) (bool, error) {
-	message, sent := a.compose(introduce)
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (a *Agent) sendHeartbeat(ctx context.Context, peer *rpc.Peer, address string, full bool) (bool, error) {
+	message, sent := a.composeHeartbeat(full)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	answer, err := rpc.Call[control.Heartbeat, control.HeartbeatAnswer](ctx, peer, control.MethodHeartbeat, message)
 	if err != nil {
@@ -172,40 +172,41 @@
 	if !answer.Known {
 		return false, nil
 	}
-	if err := a.takeAnswer(ctx, peer, answer, sent); err != nil || !answer.LeaseExpired {
+	if err := a.applyAnswer(ctx, peer, answer, sent); err != nil || !answer.LeaseExpired {
 		return true, err
 	}
 	return true, leader.CheckSuperseded(ctx, a.Store, a.cell(), address)
 }
 
-// takeAnswer acts on the answer to a beat, unless it is of a lead of the past, which may know less than the next.
-func (a *Agent) takeAnswer(ctx context.Context, peer *rpc.Peer, answer control.HeartbeatAnswer, sent sentState) error {
+// applyAnswer applies the answer to a heartbeat. It rejects answers of an earlier epoch, since that leader may lack changes
+// of the current one.
+func (a *Agent) applyAnswer(ctx context.Context, peer *rpc.Peer, answer control.HeartbeatAnswer, sent sentState) error {
 	a.mu.Lock()
-	isPast := answer.Epoch < a.desired.Position.Epoch
-	if !isPast {
-		a.sent, a.evict = sent, false
+	isOutdated := answer.Epoch < a.desired.Position.Epoch
+	if !isOutdated {
+		a.sent, a.evictRequested = sent, false
 	}
 	a.mu.Unlock()
-	if isPast {
-		return fault.New(fault.Stale, "the lead of epoch %d is of the past", answer.Epoch)
+	if isOutdated {
+		return fault.New(fault.Stale, "the answer is of the earlier epoch %d", answer.Epoch)
 	}
-	a.forget(ctx, answer.Acked)
+	a.removeEnded(ctx, answer.Acked)
 	if answer.Desired == nil {
 		return nil
 	}
-	_, err := a.takeDesired(ctx, peer, *answer.Desired)
+	_, err := a.acceptDesired(ctx, peer, *answer.Desired)
 	return err
 }
 
-// compose makes the next beat, with what changed since the last one that was answered.
-func (a *Agent) compose(introduce bool) (control.Heartbeat, sentState) {
+// composeHeartbeat returns the next heartbeat, with all statuses or with the changes since the last one that was answered.
+func (a *Agent) composeHeartbeat(full bool) (control.Heartbeat, sentState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	message := control.Heartbeat{
 		Instance: a.description.Instance(), Boot: a.Boot, Received: a.desired.Position, Applied: a.applied,
-		Stopping: a.stopping, BatchBlocked: a.remedies.BlocksBatch(), Evict: a.evict,
+		Stopping: a.stopping, BatchBlocked: a.remedies.BlocksBatch(), Evict: a.evictRequested,
 	}
-	if introduce {
+	if full {
 		message.Profile = a.profile()
 	}
 	sent := sentState{statuses: make(map[control.Run]control.Status), usage: make(map[task.Run]int64)}
@@ -216,7 +217,7 @@
 		}
 		s := statusOf(r)
 		sent.statuses[s.Run] = s
-		if introduce || a.sent.statuses[s.Run] != s {
+		if full || a.sent.statuses[s.Run] != s {
 			message.Statuses = append(message.Statuses, s)
 		}
 	}
@@ -236,19 +237,19 @@
 	}
 }
 
-// composeMeasurements adds the usage that moved by more than a step, and the latencies; a.mu is held.
+// composeMeasurements adds the latencies, and the usages that changed by more than usageChangeFactor; a.mu is held.
 func (a *Agent) composeMeasurements(message *control.Heartbeat, sent *sentState) {
 	for key, u := range a.usage {
-		before, now := a.sent.usage[key], u.Used().Processors()+u.Used().Memory()
-		if float64(now) <= float64(before)*usageStep && float64(before) <= float64(now)*usageStep {
-			sent.usage[key] = before
+		last, current := a.sent.usage[key], u.Used().Processors()+u.Used().Memory()
+		if float64(current) <= float64(last)*usageChangeFactor && float64(last) <= float64(current)*usageChangeFactor {
+			sent.usage[key] = last
 			continue
 		}
-		sent.usage[key] = now
+		sent.usage[key] = current
 		message.Usage = append(message.Usage, control.Usage{Run: control.EncodeRun(key), Used: control.EncodeSize(u.Used())})
 	}
-	for _, y := range a.latency {
-		message.Latency = append(message.Latency, y)
+	for _, l := range a.latency {
+		message.Latency = append(message.Latency, l)
 	}
 	slices.SortFunc(message.Latency, func(x, y control.Latency) int { return strings.Compare(x.Service, y.Service) })
 	clear(a.latency)
--- a/internal/agent/measure.go
+++ b/internal/agent/measure.go
@@ -17,9 +17,9 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-const fewSamples = 5
+const minSamples = 5
 
-// measureLoop looks at latency and usage, and throttles the batch tasks when a service nears its target.
+// measureLoop measures latency and usage, and throttles batch tasks when the latency of a service approaches its target.
 func (a *Agent) measureLoop(ctx context.Context) error {
 	ticker := time.NewTicker(a.Timing.Measure)
 	defer ticker.Stop()
@@ -37,7 +37,7 @@
 func (a *Agent) measureUsage(ctx context.Context) {
 	usages, err := a.Worker.Usage(ctx)
 	if err != nil {
-		a.Logger.Debug("the worker's usage cannot be read: %v", err)
+		a.Logger.Debug("cannot read the worker's usage: %v", err)
 		return
 	}
 	a.mu.Lock()
@@ -50,15 +50,15 @@
 	}
 }
 
-// measureLatency looks at how the services did, and has the remedies follow.
+// measureLatency updates the remedies by the latency of the services, and applies the throttles that changed.
 func (a *Agent) measureLatency(ctx context.Context, now time.Time) {
 	a.mu.Lock()
 	before := a.throttles()
-	news := a.step(now)
+	changed := a.stepRemedies(now)
 	after := a.throttles()
 	a.mu.Unlock()
-	if news {
-		a.beatSoon()
+	if changed {
+		a.heartbeatSoon()
 	}
 	for key, percent := range after {
 		if before[key] != percent {
@@ -67,30 +67,31 @@
 	}
 }
 
-// step observes the services and lets the policy decide; it reports whether the lead should hear soon. a.mu is held.
-func (a *Agent) step(now time.Time) bool {
+// stepRemedies feeds the latest measurements to the interference model and the remedies, and reports whether the leader
+// needs a heartbeat at once. a.mu is held.
+func (a *Agent) stepRemedies(now time.Time) bool {
 	in := remedy.Input{Now: now}
-	given := a.shares(true)
+	neighbors := a.shares(true)
 	bands := make(map[string]interference.Band)
 	for _, m := range a.gate.Measure() {
-		if m.Samples() < fewSamples {
+		if m.Samples() < minSamples {
 			continue
 		}
 		band := interference.BandOf(m.Load())
 		bands[m.Service()] = band
-		slowdown := a.model.Observe(m.Service(), band, given, m.MeanRunTime(), m.Samples(), now)
+		slowdown := a.model.Observe(m.Service(), band, neighbors, m.MeanRunTime(), m.Samples(), now)
 		in.LatencyRatio, in.Slowdown = max(in.LatencyRatio, m.LatencyRatio()), max(in.Slowdown, slowdown)
-		a.latency[m.Service()] = latencyWire(m, given)
+		a.latency[m.Service()] = encodeLatency(m, neighbors)
 	}
 	in.Loads = a.loads(bands, now)
-	pressed := a.remedies.BlocksBatch()
+	blocked := a.remedies.BlocksBatch()
 	if remedy.DefaultPolicy().Step(&a.remedies, in) {
-		a.evict = true
+		a.evictRequested = true
 	}
-	return a.evict || pressed != a.remedies.BlocksBatch()
+	return a.evictRequested || blocked != a.remedies.BlocksBatch()
 }
 
-func latencyWire(m gate.Measurement, neighbors []interference.Neighbor) control.Latency {
+func encodeLatency(m gate.Measurement, neighbors []interference.Neighbor) control.Latency {
 	wire := control.Latency{
 		Service: m.Service(), Load: rounded(m.Load()), Ratio: rounded(m.LatencyRatio()), MeanRunMicros: m.MeanRunTime().Microseconds(), Samples: m.Samples(),
 	}
@@ -100,22 +101,22 @@
 	return wire
 }
 
-// rounded keeps three decimals, since bytes count.
+// rounded returns x with three decimals, which keeps heartbeats short.
 func rounded(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-// batch calls do for each batch run on the worker; a.mu is held.
-func (a *Agent) batch(do func(task.Run, *run)) {
+// forEachBatchRun calls visit for each batch run on the worker; a.mu is held.
+func (a *Agent) forEachBatchRun(visit func(task.Run, *run)) {
 	for key, r := range a.runs {
 		if r.started && !r.hasEnded() && r.status.Address() == "" && !r.desired.Service {
-			do(key, r)
+			visit(key, r)
 		}
 	}
 }
 
-// shares are the shares of the processors of the batch workloads, as throttled or at full speed; a.mu is held.
+// shares returns the batch workloads with their shares of the VM's processors, as throttled or at full speed; a.mu is held.
 func (a *Agent) shares(throttled bool) []interference.Neighbor {
 	shares := make(map[string]float64)
-	a.batch(func(_ task.Run, r *run) {
+	a.forEachBatchRun(func(_ task.Run, r *run) {
 		share := float64(r.status.Size().Processors()) / float64(max(a.description.Capacity().Processors(), 1))
 		if throttled {
 			share *= float64(a.remedies.Throttle(r.status.Workload())) / remedy.Unthrottled
@@ -129,27 +130,28 @@
 	return neighbors
 }
 
-// loads are the batch workloads with what they are believed to slow the services by at full speed; a.mu is held.
+// loads returns the batch workloads with the greatest slowdown of a service that the model predicts for each of them at
+// full speed; a.mu is held.
 func (a *Agent) loads(bands map[string]interference.Band, now time.Time) []remedy.Load {
 	var loads []remedy.Load
 	for _, n := range a.shares(false) {
-		harm := 0.0
+		slowdown := 0.0
 		for service, band := range bands {
-			harm = max(harm, a.model.MeanSlowdown(service, n.Workload(), band, now)*n.Share())
+			slowdown = max(slowdown, a.model.MeanSlowdown(service, n.Workload(), band, now)*n.Share())
 		}
-		loads = append(loads, remedy.NewLoad(n.Workload(), harm, a.weights[n.Workload()]))
+		loads = append(loads, remedy.NewLoad(n.Workload(), slowdown, a.weights[n.Workload()]))
 	}
 	return loads
 }
 
-// throttles are the throttles of the batch runs; a.mu is held.
+// throttles returns the throttle of each batch run in percent; a.mu is held.
 func (a *Agent) throttles() map[task.Run]int {
 	throttles := make(map[task.Run]int)
-	a.batch(func(key task.Run, r *run) { throttles[key] = a.remedies.Throttle(r.status.Workload()) })
+	a.forEachBatchRun(func(key task.Run, r *run) { throttles[key] = a.remedies.Throttle(r.status.Workload()) })
 	return throttles
 }
 
-// throttleNew throttles a batch task that starts while others of its workload are throttled.
+// throttleNew throttles a new batch task if its workload is throttled.
 func (a *Agent) throttleNew(ctx context.Context, r *run) {
 	a.mu.Lock()
 	percent := a.remedies.Throttle(r.status.Workload())
--- a/internal/agent/protocol_steps_test.go
+++ b/internal/agent/protocol_steps_test.go
@@ -16,151 +16,151 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// actions are what a step may be; what is named more often is done more often.
+// actions are the possible actions of a step; repeated actions are drawn more often.
 var actions = []string{
 	"round", "round", "round", "beat", "beat", "reconcile", "commit", "commit", "late", "late", "late",
 	"submit", "scale", "end", "end", "end", "restart", "restart", "takeover", "cancel", "die",
 }
 
-func (w *world) step() {
-	action := rapid.SampledFrom(actions).Draw(w.t, "action")
-	agent := rapid.IntRange(0, len(w.agents)-1).Draw(w.t, "agent")
-	l := w.leads[rapid.IntRange(max(0, len(w.leads)-2), len(w.leads)-1).Draw(w.t, "lead")]
-	if w.workers[agent].dead {
-		// A dead VM's agent is dead too.
+func (m *clusterModel) step() {
+	action := rapid.SampledFrom(actions).Draw(m.t, "action")
+	agent := rapid.IntRange(0, len(m.agents)-1).Draw(m.t, "agent")
+	l := m.leaders[rapid.IntRange(max(0, len(m.leaders)-2), len(m.leaders)-1).Draw(m.t, "lead")]
+	if m.workers[agent].lost {
+		// The agent is lost with its VM.
 		return
 	}
 	switch action {
 	case "round":
-		w.beat(agent, l, 2)
-		w.agents[agent].reconcile(w.ctx)
-		w.beat(agent, l, 2)
-		_ = l.CommitOnce(w.ctx)
+		m.sendHeartbeat(agent, l, 2)
+		m.agents[agent].reconcile(m.ctx)
+		m.sendHeartbeat(agent, l, 2)
+		_ = l.CommitOnce(m.ctx)
 	case "beat":
-		w.beat(agent, l, rapid.IntRange(0, 2).Draw(w.t, "fate"))
+		m.sendHeartbeat(agent, l, rapid.IntRange(0, 2).Draw(m.t, "fate"))
 	case "reconcile":
-		w.agents[agent].reconcile(w.ctx)
+		m.agents[agent].reconcile(m.ctx)
 	case "commit":
-		w.store.fail = rapid.SampledFrom([]fault.Kind{fault.Internal, fault.Internal, fault.OutcomeUnknown, fault.Unavailable}).Draw(w.t, "store")
-		_ = l.CommitOnce(w.ctx)
-		w.store.fail = fault.Internal
+		m.store.failNext = rapid.SampledFrom([]fault.Kind{fault.Internal, fault.Internal, fault.OutcomeUnknown, fault.Unavailable}).Draw(m.t, "store")
+		_ = l.CommitOnce(m.ctx)
+		m.store.failNext = fault.Internal
 	case "late":
-		w.deliver()
+		m.deliverDelayed()
 	case "submit":
-		w.submit(l)
+		m.submit(l)
 	case "scale":
-		w.scale()
+		m.scale()
 	case "end":
-		if f, r, ok := w.anyRun(); ok {
-			_ = f.end(r, rapid.SampledFrom([]task.State{task.Finished, task.Failed, task.Stopped, task.Checkpointed}).Draw(w.t, "end"))
+		if f, r, ok := m.randomRun(); ok {
+			_ = f.end(r, rapid.SampledFrom([]task.State{task.Finished, task.Failed, task.Stopped, task.Checkpointed}).Draw(m.t, "end"))
 		}
 	case "restart":
-		w.agents[agent] = w.newAgent(agent)
+		m.agents[agent] = m.newAgent(agent)
 	case "takeover":
-		w.takeOver()
+		m.takeOver()
 	case "cancel":
-		w.workers[agent].lose = true
-		w.cancel(l)
+		m.workers[agent].loseNextAnswer = true
+		m.cancel(l)
 	case "die":
-		w.die(agent)
+		m.loseVM(agent)
 	}
-	_ = w.leads[len(w.leads)-1].Renew(w.ctx)
+	_ = m.leaders[len(m.leaders)-1].Renew(m.ctx)
 	time.Sleep(100 * time.Millisecond)
 }
 
-// deliver hands an agent a message that was on its way for long, and has it act on it.
-func (w *world) deliver() {
-	if len(w.late) == 0 {
+// deliverDelayed delivers a delayed message to its agent and reconciles.
+func (m *clusterModel) deliverDelayed() {
+	if len(m.delayed) == 0 {
 		return
 	}
-	m := w.late[rapid.IntRange(0, len(w.late)-1).Draw(w.t, "message")]
-	if w.workers[m.agent].dead {
+	message := m.delayed[rapid.IntRange(0, len(m.delayed)-1).Draw(m.t, "message")]
+	if m.workers[message.agent].lost {
 		return
 	}
-	_, _ = w.agents[m.agent].takeDesired(w.ctx, nil, m.desired)
-	w.agents[m.agent].reconcile(w.ctx)
+	_, _ = m.agents[message.agent].acceptDesired(m.ctx, nil, message.desired)
+	m.agents[message.agent].reconcile(m.ctx)
 }
 
-// scale edits the replicas of the service.
-func (w *world) scale() {
-	w.scaled = true
-	record := w.store.records[leader.TableKey]
+// scale edits the number of replicas of the service.
+func (m *clusterModel) scale() {
+	m.replicasEdited = true
+	record := m.store.records[leader.TableKey]
 	current, err := table.Decode(record.Value())
-	w.must(err)
-	text := strings.Replace(protocolTable, "100,2,100", fmt.Sprintf("100,%d,100", rapid.IntRange(1, 2).Draw(w.t, "replicas")), 1)
-	w.edit(current, text)
-	for _, l := range w.leads {
-		w.must(l.LoadTable(w.ctx))
+	m.must(err)
+	text := strings.Replace(protocolTable, "100,2,100", fmt.Sprintf("100,%d,100", rapid.IntRange(1, 2).Draw(m.t, "replicas")), 1)
+	m.edit(current, text)
+	for _, l := range m.leaders {
+		m.must(l.LoadTable(m.ctx))
 	}
 }
 
-// edit makes a text the table.
-func (w *world) edit(current table.Table, text string) {
+// edit stores a text as the next version of the table.
+func (m *clusterModel) edit(current table.Table, text string) {
 	rows, err := table.Parse([]byte(text))
-	w.must(err)
-	applied, err := current.Apply(table.NewEdit(current.Version(), rows, "x", fmt.Sprint(current.Version())), time.Now())
-	w.must(err)
-	value, err := table.Encode(applied)
-	w.must(err)
-	w.store.records[leader.TableKey] = store.NewRecord(store.Version(applied.Version()), value)
+	m.must(err)
+	updated, err := current.Apply(table.NewEdit(current.Version(), rows, "x", fmt.Sprint(current.Version())), time.Now())
+	m.must(err)
+	value, err := table.Encode(updated)
+	m.must(err)
+	m.store.records[leader.TableKey] = store.NewRecord(store.Version(updated.Version()), value)
 }
 
-// submit hands a job to a lead, whose commit comes with a later step or is made here.
-func (w *world) submit(l *leader.Leader) {
-	if len(w.jobs) >= 4 {
+// submit submits a job to a leader and runs one commit.
+func (m *clusterModel) submit(l *leader.Leader) {
+	if len(m.jobs) >= 4 {
 		return
 	}
-	id := fmt.Sprint("job-", len(w.jobs))
+	id := fmt.Sprint("job-", len(m.jobs))
 	accepted := make(chan error, 1)
 	go func() {
-		_, err := l.Submit(w.ctx, nil, control.Submit{ID: id, Workload: "mailing", Tasks: 3, SubmittedMillis: time.Now().UnixMilli()})
+		_, err := l.Submit(m.ctx, nil, control.Submit{ID: id, Workload: "mailing", Tasks: 3, SubmittedMillis: time.Now().UnixMilli()})
 		accepted <- err
 	}()
 	synctest.Wait()
-	_ = l.CommitOnce(w.ctx)
+	_ = l.CommitOnce(m.ctx)
 	if err := <-accepted; err == nil {
-		w.jobs = append(w.jobs, id)
+		m.jobs = append(m.jobs, id)
 	}
 }
 
-func (w *world) cancel(l *leader.Leader) {
-	if len(w.jobs) == 0 || rapid.IntRange(0, 3).Draw(w.t, "cancel") > 0 {
+func (m *clusterModel) cancel(l *leader.Leader) {
+	if len(m.jobs) == 0 || rapid.IntRange(0, 3).Draw(m.t, "cancel") > 0 {
 		return
 	}
-	id := w.jobs[rapid.IntRange(0, len(w.jobs)-1).Draw(w.t, "job")]
+	id := m.jobs[rapid.IntRange(0, len(m.jobs)-1).Draw(m.t, "job")]
 	done := make(chan struct{})
-	w.canceled[id] = true
+	m.canceled[id] = true
 	go func() {
 		defer close(done)
-		_, _ = l.Cancel(w.ctx, nil, control.JobQuery{ID: id})
+		_, _ = l.Cancel(m.ctx, nil, control.JobQuery{ID: id})
 	}()
 	synctest.Wait()
-	_ = l.CommitOnce(w.ctx)
-	// A cancellation that is refused or in doubt may or may not end the job, and either is right.
+	_ = l.CommitOnce(m.ctx)
+	// If the cancellation is refused or its outcome is unknown, the job may end or continue.
 	<-done
 }
 
-// die ends a VM for good, and the list says so; one is left at the least.
-func (w *world) die(agent int) {
-	last := w.leads[len(w.leads)-1]
+// loseVM removes a VM permanently and updates the VM list, unless only two VMs are left.
+func (m *clusterModel) loseVM(agent int) {
+	last := m.leaders[len(m.leaders)-1]
 	alive := 0
-	for _, f := range w.workers {
-		if !f.dead {
+	for _, f := range m.workers {
+		if !f.lost {
 			alive++
 		}
 	}
 	if alive > 2 {
-		w.workers[agent].dead = true
-		for r, s := range w.workers[agent].runs {
+		m.workers[agent].lost = true
+		for r, s := range m.workers[agent].runs {
 			if s.State() == task.Finished {
-				// Nobody may know of it any more, so it may run again.
-				w.finished[r.ID()]--
+				// Its end may not have been reported, so the task may run again.
+				m.finished[r.ID()]--
 			}
 		}
 		for range 10 {
 			time.Sleep(time.Second)
-			_ = last.Renew(w.ctx)
+			_ = last.Renew(m.ctx)
 		}
-		w.list(last)
+		m.updateVMs(last)
 	}
 }
--- a/internal/agent/protocol_test.go
+++ b/internal/agent/protocol_test.go
@@ -25,121 +25,122 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// protocolTable is the table of the property: services, batch tasks, and what they take.
+// protocolTable is the table of the property test, with a service and a batch workload.
 const protocolTable = `workload,kind,team,processors,memory_mb,replicas,target_ms,runtime_s,evictions,concurrency,attempts
 lookups,service,t,2,100,2,100,,,,
 mailing,batch,t,3,100,,,1,100,100,100
 `
 
-// world is the leads, agents and workers of a cell, and the messages on their way.
-type world struct {
+// clusterModel holds the leaders, agents and workers of a cell, and the messages in transit.
+type clusterModel struct {
 	t        *rapid.T
 	ctx      context.Context
 	store    *fakeStore
-	leads    []*leader.Leader
+	leaders  []*leader.Leader
 	agents   []*Agent
 	workers  []*fakeWorker
-	late     []lateMessage
+	delayed  []delayedMessage
 	finished map[task.ID]int
 	starts   map[task.Run]int
 	jobs     []string
 	canceled map[string]bool
 	boots    int
-	// scaled says that the replicas were edited, after which a replica may be wanted again before its stop is known.
-	scaled bool
+	// replicasEdited reports whether the replicas were edited; a replica may then be placed again before its stop is known.
+	replicasEdited bool
 }
 
-type lateMessage struct {
+type delayedMessage struct {
 	agent   int
 	desired control.Desired
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+func newClusterModel(t *rapid.T) *clusterModel {
+	m := &clusterModel{
 		t: t, ctx: context.Background(), store: &fakeStore{records: make(map[string]store.Record)},
 		finished: make(map[task.ID]int), starts: make(map[task.Run]int), canceled: make(map[string]bool),
 	}
-	w.edit(table.Table{}, protocolTable)
+	m.edit(table.Table{}, protocolTable)
 	for i := range 3 {
-		w.workers = append(w.workers, &fakeWorker{instance: fmt.Sprint("vm-", i), runs: make(map[task.Run]worker.Status), world: w})
-		w.agents = append(w.agents, w.newAgent(i))
+		m.workers = append(m.workers, &fakeWorker{instance: fmt.Sprint("vm-", i), runs: make(map[task.Run]worker.Status), model: m})
+		m.agents = append(m.agents, m.newAgent(i))
 	}
-	w.takeOver()
-	return w
+	m.takeOver()
+	return m
 }
 
-func (w *world) must(err error) {
+func (m *clusterModel) must(err error) {
 	if err != nil {
-		w.t.Fatalf("%v", err)
+		m.t.Fatalf("%v", err)
 	}
 }
 
-// began checks a start against the promises, by the books of all workers.
-func (w *world) began(on *fakeWorker, order worker.Order) {
+// checkStart checks the protocol's guarantees at a start against the runs of all workers: a task runs once at a time, fits
+// its worker and does not start after it finished, and a run starts once.
+func (m *clusterModel) checkStart(target *fakeWorker, order worker.Order) {
 	used := order.Size()
-	for _, f := range w.workers {
+	for _, f := range m.workers {
 		for r, s := range f.runs {
-			if s.State().IsFinal() || f.dead {
+			if s.State().IsFinal() || f.lost {
 				continue
 			}
 			if r.ID() == order.Run().ID() {
-				w.t.Fatalf("task %s starts as %d on %s while it runs as %d on %s", r.ID(), order.Run().Incarnation(), on.instance, r.Incarnation(), f.instance)
+				m.t.Fatalf("task %s starts as %d on %s while it runs as %d on %s", r.ID(), order.Run().Incarnation(), target.instance, r.Incarnation(), f.instance)
 			}
-			if f == on {
+			if f == target {
 				used = used.Add(s.Size())
 			}
 		}
 	}
 	if !used.Fits(resource.New(8000, 1000, 0)) {
-		w.t.Fatalf("%s is committed to %s", on.instance, used)
+		m.t.Fatalf("%s is committed to %s", target.instance, used)
 	}
-	if w.finished[order.Run().ID()] > 0 && !order.IsService() {
-		w.t.Fatalf("task %s starts after it finished", order.Run().ID())
+	if m.finished[order.Run().ID()] > 0 && !order.IsService() {
+		m.t.Fatalf("task %s starts after it finished", order.Run().ID())
 	}
-	w.starts[order.Run()]++
-	if w.starts[order.Run()] > 1 {
-		w.t.Fatalf("run %v starts twice", order.Run())
+	m.starts[order.Run()]++
+	if m.starts[order.Run()] > 1 {
+		m.t.Fatalf("run %v starts twice", order.Run())
 	}
 }
 
-func (w *world) newAgent(i int) *Agent {
-	w.boots++
+func (m *clusterModel) newAgent(i int) *Agent {
+	m.boots++
 	clock := timeline.NewClock(time.Now)
 	a := New(Config{
-		ID: fmt.Sprint("agent-", i), Boot: fmt.Sprint("boot-", w.boots), Hall: "h", Rack: 1, Worker: w.workers[i],
+		ID: fmt.Sprint("agent-", i), Boot: fmt.Sprint("boot-", m.boots), Hall: "h", Rack: 1, Worker: m.workers[i],
 		Logger: logging.Discard(), Clock: clock, Recorder: timeline.NewRecorder(clock, "x", 1),
 		Timing: Timing{Drain: time.Second, TaskLease: time.Second},
 	})
-	w.must(a.tryAdopt(w.ctx))
+	m.must(a.tryAdopt(m.ctx))
 	return a
 }
 
-const leaseTime = 2 * time.Second
+const leaseTTL = 2 * time.Second
 
-func (w *world) takeOver() {
+func (m *clusterModel) takeOver() {
 	clock := timeline.NewClock(time.Now)
 	l := leader.New(leader.Config{
-		Cell: "h-0", Agent: fmt.Sprint("lead-", len(w.leads)), Store: w.store, Logger: logging.Discard(),
+		Cell: "h-0", Agent: fmt.Sprint("lead-", len(m.leaders)), Store: m.store, Logger: logging.Discard(),
 		Recorder: timeline.NewRecorder(clock, "x", 1),
-		Address:  fmt.Sprint("address-", len(w.leads)),
-		Timing:   leader.Timing{Lease: leaseTime, Heartbeat: time.Second, CommitRate: 1 << 20},
+		Address:  fmt.Sprint("address-", len(m.leaders)),
+		Timing:   leader.Timing{Lease: leaseTTL, Heartbeat: time.Second, CommitRate: 1 << 20},
 	})
-	// The leases of the leads before have lapsed by then, though they may not have noticed.
-	time.Sleep(leaseTime + time.Millisecond)
-	asked := time.Now()
-	lease, err := w.store.Acquire(w.ctx, "lead", l.Address, leaseTime)
-	w.must(err)
-	w.must(l.Begin(w.ctx, lease, asked))
-	w.must(l.LoadTable(w.ctx))
-	w.leads = append(w.leads, l)
-	w.list(l)
+	// By then the leases of the previous leaders have expired, though these may not have detected it.
+	time.Sleep(leaseTTL + time.Millisecond)
+	requestedAt := time.Now()
+	lease, err := m.store.Acquire(m.ctx, "lead", l.Address, leaseTTL)
+	m.must(err)
+	m.must(l.Begin(m.ctx, lease, requestedAt))
+	m.must(l.LoadTable(m.ctx))
+	m.leaders = append(m.leaders, l)
+	m.updateVMs(l)
 }
 
-func (w *world) list(l *leader.Leader) {
+func (m *clusterModel) updateVMs(l *leader.Leader) {
 	var vms []vmlist.VM
-	for _, f := range w.workers {
+	for _, f := range m.workers {
 		state := vmlist.Live
-		if f.dead {
+		if f.lost {
 			state = vmlist.Gone
 		}
 		vms = append(vms, vmlist.NewVM(f.instance, "h", 1, state))
@@ -147,98 +148,98 @@
 	l.UpdateVMs(vms)
 }
 
-// beat sends a heartbeat; its answer arrives now, late, or never.
-func (w *world) beat(agent int, l *leader.Leader, fate int) {
-	a := w.agents[agent]
-	if w.workers[agent].dead {
+// sendHeartbeat sends a heartbeat; the delivery of its answer is 0 for lost, 1 for delayed, 2 for immediate.
+func (m *clusterModel) sendHeartbeat(agent int, l *leader.Leader, delivery int) {
+	a := m.agents[agent]
+	if m.workers[agent].lost {
 		return
 	}
-	message, sent := a.compose(true)
-	answer, err := l.Heartbeat(w.ctx, &rpc.Peer{}, message)
-	if err != nil || fate == 0 || !answer.Known {
+	message, sent := a.composeHeartbeat(true)
+	answer, err := l.Heartbeat(m.ctx, &rpc.Peer{}, message)
+	if err != nil || delivery == 0 || !answer.Known {
 		return
 	}
 	if answer.Desired != nil {
-		w.late = append(w.late, lateMessage{agent: agent, desired: *answer.Desired})
+		m.delayed = append(m.delayed, delayedMessage{agent: agent, desired: *answer.Desired})
 	}
-	if fate == 2 {
-		_ = a.takeAnswer(w.ctx, nil, answer, sent)
+	if delivery == 2 {
+		_ = a.applyAnswer(m.ctx, nil, answer, sent)
 	}
 }
 
-func (w *world) anyRun() (*fakeWorker, task.Run, bool) {
-	f := w.workers[rapid.IntRange(0, len(w.workers)-1).Draw(w.t, "worker")]
+func (m *clusterModel) randomRun() (*fakeWorker, task.Run, bool) {
+	f := m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "worker")]
 	runs := f.running()
-	if f.dead || len(runs) == 0 {
+	if f.lost || len(runs) == 0 {
 		return nil, task.Run{}, false
 	}
-	// The order of a map is not the same each run, so the least is taken.
-	least := runs[0]
+	// Map iteration order is random, so the run with the lowest ID is chosen to keep the test reproducible.
+	lowest := runs[0]
 	for _, r := range runs[1:] {
-		if r.ID().String() < least.ID().String() {
-			least = r
+		if r.ID().String() < lowest.ID().String() {
+			lowest = r
 		}
 	}
-	return f, least, true
+	return f, lowest, true
 }
 
-// settle lets everything come to rest with the latest lead.
-func (w *world) settle() {
-	last := w.leads[len(w.leads)-1]
+// runToCompletion runs the cell under the latest leader for 60 seconds and checks that all jobs end.
+func (m *clusterModel) runToCompletion() {
+	last := m.leaders[len(m.leaders)-1]
 	for range 60 {
 		time.Sleep(time.Second)
-		w.must(last.Renew(w.ctx))
-		w.list(last)
-		for i, a := range w.agents {
-			if w.workers[i].dead {
+		m.must(last.Renew(m.ctx))
+		m.updateVMs(last)
+		for i, a := range m.agents {
+			if m.workers[i].lost {
 				continue
 			}
-			w.beat(i, last, 2)
-			a.reconcile(w.ctx)
-			for _, r := range w.workers[i].running() {
+			m.sendHeartbeat(i, last, 2)
+			a.reconcile(m.ctx)
+			for _, r := range m.workers[i].running() {
 				if r.ID().Job() != "lookups" {
-					_ = w.workers[i].end(r, task.Finished)
+					_ = m.workers[i].end(r, task.Finished)
 				}
 			}
-			a.reconcile(w.ctx)
-			w.beat(i, last, 2)
+			a.reconcile(m.ctx)
+			m.sendHeartbeat(i, last, 2)
 		}
-		w.must(last.CommitOnce(w.ctx))
+		m.must(last.CommitOnce(m.ctx))
 	}
-	for _, id := range w.jobs {
-		j, err := last.Job(w.ctx, nil, control.JobQuery{ID: id})
+	for _, id := range m.jobs {
+		j, err := last.Job(m.ctx, nil, control.JobQuery{ID: id})
 		if err != nil {
-			w.t.Fatalf("job %s is lost: %v", id, err)
+			m.t.Fatalf("job %s is lost: %v", id, err)
 		}
-		if !w.canceled[id] && (j.State != "finished" || j.Finished != j.Tasks) {
-			w.t.Fatalf("job %s does not end: %+v", id, j)
+		if !m.canceled[id] && (j.State != "finished" || j.Finished != j.Tasks) {
+			m.t.Fatalf("job %s did not end: %+v", id, j)
 		}
 	}
 }
 
-var steps = flag.Int("protocol.steps", 150, "steps of a run of the protocol's property")
+var steps = flag.Int("protocol.steps", 150, "maximum steps of one run of the protocol property")
 
-// tally counts what the property did, so that it can be seen to do something.
-type tally struct{ worlds, starts, moves, finished int }
+// counts are totals over all runs of the property; they show that it started, moved and finished tasks.
+type counts struct{ models, starts, moves, finished int }
 
-func (y *tally) add(w *world) {
-	y.worlds++
-	y.starts += len(w.starts)
-	y.finished += len(w.finished)
-	for r := range w.starts {
+func (c *counts) add(m *clusterModel) {
+	c.models++
+	c.starts += len(m.starts)
+	c.finished += len(m.finished)
+	for r := range m.starts {
 		if r.Incarnation() > 1 {
-			y.moves++
+			c.moves++
 		}
 	}
 }
 
-func (y *tally) protocol(t *rapid.T) {
-	w := newWorld(t)
+func (c *counts) protocol(t *rapid.T) {
+	m := newClusterModel(t)
 	for range rapid.IntRange(1, *steps).Draw(t, "steps") {
-		w.step()
+		m.step()
 	}
-	w.settle()
-	y.add(w)
+	m.runToCompletion()
+	c.add(m)
 }
 
 func TestMain(m *testing.M) {
@@ -247,16 +248,16 @@
 	os.Exit(m.Run())
 }
 
-// bubbled hides the deadline of a test, which may not be asked for in a bubble of fake time.
-type bubbled struct{ rapid.TB }
+// withoutDeadline hides the Deadline method of a test, which must not be called in a synctest bubble.
+type withoutDeadline struct{ rapid.TB }
 
-func TestProtocolKeepsTheBooks(t *testing.T) {
-	y := &tally{}
+func TestProtocolKeepsInvariants(t *testing.T) {
+	c := &counts{}
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(bubbled{t}, y.protocol)
+		rapid.Check(withoutDeadline{t}, c.protocol)
 	})
-	t.Logf("%+v", *y)
-	if y.moves == 0 || y.finished == 0 {
-		t.Fatalf("the property moved or finished nothing: %+v", *y)
+	t.Logf("%+v", *c)
+	if c.moves == 0 || c.finished == 0 {
+		t.Fatalf("the property moved or finished no task: %+v", *c)
 	}
 }
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -14,27 +14,28 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// takeDesired takes over what the lead wants, unless it is older than what the agent has or meant for an earlier start.
-func (a *Agent) takeDesired(_ context.Context, _ *rpc.Peer, d control.Desired) (control.Ack, error) {
+// acceptDesired stores the desired runs of a leader. It rejects those that are older than the stored ones or for an earlier
+// start of the agent.
+func (a *Agent) acceptDesired(_ context.Context, _ *rpc.Peer, d control.Desired) (control.Ack, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if d.Boot != a.Boot {
-		return control.Ack{}, fault.New(fault.Stale, "the agent was started anew since")
+		return control.Ack{}, fault.New(fault.Stale, "the agent has restarted since")
 	}
 	if d.Position.Before(a.desired.Position) {
-		return control.Ack{}, fault.New(fault.Stale, "a later lead or a later message was here before")
+		return control.Ack{}, fault.New(fault.Stale, "the agent has received a later position")
 	}
 	if !d.IsFull() && d.Base != a.desired.Position {
-		return control.Ack{}, fault.New(fault.Stale, "the change is of another position than the agent's")
+		return control.Ack{}, fault.New(fault.Stale, "the change is based on another position than the agent's")
 	}
-	a.desired, a.fresh = merged(a.desired, d), true
+	a.desired, a.desiredReceived = mergeDesired(a.desired, d), true
 	a.setLeaving(d.Leaving)
-	notify(a.poke)
+	notify(a.reconcileNow)
 	return control.Ack{}, nil
 }
 
-// merged is what an agent is to run after a message, which may tell only what changed.
-func merged(before, d control.Desired) control.Desired {
+// mergeDesired returns the desired runs after a message, which may be full or a change of the previous ones.
+func mergeDesired(previous, d control.Desired) control.Desired {
 	if d.IsFull() {
 		return d
 	}
@@ -45,7 +46,7 @@
 	for _, run := range d.Removed {
 		changed[run] = struct{}{}
 	}
-	for _, r := range before.Runs {
+	for _, r := range previous.Runs {
 		if _, ok := changed[r.Run]; !ok {
 			d.Runs = append(d.Runs, r)
 		}
@@ -54,7 +55,7 @@
 	return d
 }
 
-// reconcileLoop brings the worker to what is wanted, from time to time and when something new is wanted.
+// reconcileLoop reconciles the worker at an interval and whenever the desired runs change.
 func (a *Agent) reconcileLoop(ctx context.Context) error {
 	ticker := time.NewTicker(a.Timing.Reconcile)
 	defer ticker.Stop()
@@ -63,37 +64,37 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-		case <-a.poke:
+		case <-a.reconcileNow:
 		}
 		a.reconcile(ctx)
 	}
 }
 
-// reconcile is one round; only this goroutine starts and stops runs.
+// reconcile brings the worker to the desired runs in one pass; only its goroutine starts and stops runs.
 func (a *Agent) reconcile(ctx context.Context) {
 	statuses, err := a.Worker.List(ctx)
 	if err != nil {
-		a.Logger.Warn("the worker cannot be listed: %v", err)
+		a.Logger.Warn("cannot list the worker's runs: %v", err)
 		return
 	}
-	a.takeStatuses(statuses, time.Now())
-	position := a.takeWanted()
+	a.updateStatuses(statuses, time.Now())
+	position := a.markWanted()
 	a.startWanted(ctx)
 	a.stopUnwanted(ctx)
 	a.checkpointEvicted(ctx)
 	a.renew(ctx)
 	a.setReplicas()
 	a.mu.Lock()
-	news := a.applied != position
+	changed := a.applied != position
 	a.applied = position
 	a.mu.Unlock()
-	if news {
-		a.beatSoon()
+	if changed {
+		a.heartbeatSoon()
 	}
 }
 
-// takeStatuses compares the worker's list with the runs that the agent knows.
-func (a *Agent) takeStatuses(statuses []worker.Status, now time.Time) {
+// updateStatuses updates the runs of the agent by the worker's list; a started run that is missing there counts as stopped.
+func (a *Agent) updateStatuses(statuses []worker.Status, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	listed := make(map[task.Run]struct{}, len(statuses))
@@ -101,7 +102,7 @@
 		listed[s.Run()] = struct{}{}
 		r, ok := a.runs[s.Run()]
 		if !ok {
-			r = &run{started: true, adopted: true, began: now}
+			r = &run{started: true, adopted: true, startedAt: now}
 			a.runs[s.Run()] = r
 		}
 		r.status, r.started = s, true
@@ -116,7 +117,7 @@
 	}
 }
 
-// endRun takes a run off the ledger and has its end reported; a.mu is held.
+// endRun removes a run from the ledger and requests a heartbeat that reports its end; a.mu is held.
 func (a *Agent) endRun(r *run, state task.State, checkpoint string, now time.Time) {
 	if r.hasEnded() {
 		return
@@ -124,19 +125,19 @@
 	r.end(state, checkpoint, now)
 	a.ledger.End(r.status.Run())
 	a.record(leader.EndKind(state), r.status.Run(), "the run has ended: "+state.String())
-	a.beatSoon()
+	a.heartbeatSoon()
 }
 
 func (a *Agent) record(kind timeline.Kind, r task.Run, text string) {
 	a.Recorder.Record(kind, timeline.Subject{Task: r.ID().String(), Worker: a.description.Instance()}, text)
 }
 
-// takeWanted marks the runs that are wanted, and returns the position that this round applies.
-func (a *Agent) takeWanted() control.Position {
+// markWanted marks the desired runs, and returns the position that this pass applies.
+func (a *Agent) markWanted() control.Position {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.fresh {
-		// Until a lead has spoken, what runs goes on.
+	if !a.desiredReceived {
+		// Adopted runs continue until a leader sends the desired runs.
 		for _, r := range a.runs {
 			r.wanted = true
 		}
@@ -161,21 +162,21 @@
 	return a.desired.Position
 }
 
-// pick returns the runs that a test holds for.
-func (a *Agent) pick(test func(*run) bool) []*run {
+// selectRuns returns the runs that match.
+func (a *Agent) selectRuns(match func(*run) bool) []*run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var picked []*run
+	var selected []*run
 	for _, r := range a.runs {
-		if test(r) {
-			picked = append(picked, r)
+		if match(r) {
+			selected = append(selected, r)
 		}
 	}
-	return picked
+	return selected
 }
 
 func (a *Agent) startWanted(ctx context.Context) {
-	for _, r := range a.pick(func(r *run) bool { return r.wanted && !r.started && !r.hasEnded() }) {
+	for _, r := range a.selectRuns(func(r *run) bool { return r.wanted && !r.started && !r.hasEnded() }) {
 		a.start(ctx, r)
 	}
 }
@@ -183,7 +184,7 @@
 func (a *Agent) start(ctx context.Context, r *run) {
 	key := r.status.Run()
 	if err := a.ledger.Admit(key, r.status.Size()); err != nil {
-		if a.waitsForOlder(key) {
+		if a.waitsForEarlierRun(key) {
 			return
 		}
 		a.refuse(r, err)
@@ -194,26 +195,26 @@
 	switch {
 	case err == nil:
 		a.mu.Lock()
-		r.started, r.began = true, time.Now()
+		r.started, r.startedAt = true, time.Now()
 		r.status = worker.NewStatus(key, r.desired.Workload, task.Running, r.status.Size())
 		a.mu.Unlock()
 		a.record(timeline.TaskStarted, key, "started as "+r.desired.Workload)
 		a.throttleNew(ctx, r)
-		notify(a.poke)
+		notify(a.reconcileNow)
 	case fault.Is(err, fault.DoesNotFit):
 		a.refuse(r, err)
 	default:
-		// The next round asks again; a start may be repeated.
+		// The next pass retries; starting a run again has no effect.
 		a.Logger.Warn("cannot start task %s: %v", key.ID(), err)
 	}
 }
 
-// waitsForOlder reports whether an earlier run of the task has yet to stop here.
-func (a *Agent) waitsForOlder(key task.Run) bool {
-	older := a.pick(func(o *run) bool {
+// waitsForEarlierRun reports whether an earlier run of the task has not ended on this worker.
+func (a *Agent) waitsForEarlierRun(key task.Run) bool {
+	earlier := a.selectRuns(func(o *run) bool {
 		return o.status.Run().ID() == key.ID() && o.status.Run().Incarnation() < key.Incarnation() && !o.hasEnded()
 	})
-	return len(older) > 0
+	return len(earlier) > 0
 }
 
 func (a *Agent) refuse(r *run, err error) {
@@ -223,9 +224,9 @@
 	a.endRun(r, task.Refused, "", time.Now())
 }
 
-// stopUnwanted stops what is no longer wanted; a replica first finishes its requests.
+// stopUnwanted stops the runs that are no longer desired; replicas are drained first.
 func (a *Agent) stopUnwanted(ctx context.Context) {
-	for _, r := range a.pick(func(r *run) bool { return !r.wanted && !r.hasEnded() }) {
+	for _, r := range a.selectRuns(func(r *run) bool { return !r.wanted && !r.hasEnded() }) {
 		if r.status.Address() != "" && !a.drained(r) {
 			continue
 		}
@@ -242,36 +243,36 @@
 
 func (a *Agent) drained(r *run) bool {
 	now := time.Now()
-	if r.drainBy.IsZero() {
-		r.drainBy = now.Add(a.Timing.Drain)
+	if r.drainDeadline.IsZero() {
+		r.drainDeadline = now.Add(a.Timing.Drain)
 		a.Recorder.Record(timeline.EndpointLeaving,
 			timeline.Subject{Task: r.status.Run().ID().String(), Worker: a.description.Instance()}, "the replica takes no new requests")
 		a.gate.Drain(r.status.Workload())
-		a.beatSoon()
+		a.heartbeatSoon()
 		return false
 	}
-	return a.gate.Drain(r.status.Workload()) == 0 || now.After(r.drainBy)
+	return a.gate.Drain(r.status.Workload()) == 0 || now.After(r.drainDeadline)
 }
 
 func (a *Agent) checkpointEvicted(ctx context.Context) {
-	for _, r := range a.pick(func(r *run) bool { return r.wanted && r.started && r.desired.Evict && !r.checked && !r.hasEnded() }) {
+	for _, r := range a.selectRuns(func(r *run) bool { return r.wanted && r.started && r.desired.Evict && !r.evicting && !r.hasEnded() }) {
 		if err := a.Worker.Checkpoint(ctx, r.status.Run()); err != nil {
 			a.Logger.Warn("cannot checkpoint task %s: %v", r.status.Run().ID(), err)
 			continue
 		}
-		r.checked = true
+		r.evicting = true
 		a.record(timeline.TaskEvicting, r.status.Run(), "asked to checkpoint and end")
-		notify(a.poke)
+		notify(a.reconcileNow)
 	}
 }
 
 func (a *Agent) renew(ctx context.Context) { a.renewFor(ctx, a.Timing.TaskLease) }
 
-// extendLeases gives tasks the time that a new agent needs to adopt them.
+// extendLeases renews the leases for twice their time, so that the next start of the agent can adopt the tasks.
 func (a *Agent) extendLeases(ctx context.Context) { a.renewFor(ctx, 2*a.Timing.TaskLease) }
 
 func (a *Agent) renewFor(ctx context.Context, lease time.Duration) {
-	running := a.pick(func(r *run) bool { return r.started && !r.hasEnded() })
+	running := a.selectRuns(func(r *run) bool { return r.started && !r.hasEnded() })
 	runs := make([]task.Run, 0, len(running))
 	for _, r := range running {
 		runs = append(runs, r.status.Run())
@@ -284,7 +285,7 @@
 	}
 }
 
-// setReplicas tells the gate which replicas run.
+// setReplicas passes the running replicas to the gate.
 func (a *Agent) setReplicas() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -298,7 +299,8 @@
 	a.gate.SetReplicas(replicas)
 }
 
-// replicaOf describes a replica to the gate, with the worker's limits where the table's are larger or not known.
+// replicaOf returns the gate's view of a replica, with the smaller limits of the worker and of the table; limits that the
+// table does not set are the worker's.
 func (a *Agent) replicaOf(r *run) gate.Replica {
 	slots, queue := a.description.Slots(), max(a.description.Connections()-a.description.Slots(), 0)
 	if r.desired.Concurrency > 0 {
@@ -313,10 +315,10 @@
 	}
 }
 
-// forget drops the runs whose end the lead has committed.
-func (a *Agent) forget(ctx context.Context, acked []control.Run) {
-	for _, w := range acked {
-		key := w.Decode()
+// removeEnded removes the runs whose end the leader has committed.
+func (a *Agent) removeEnded(ctx context.Context, acknowledged []control.Run) {
+	for _, ended := range acknowledged {
+		key := ended.Decode()
 		err := a.Worker.Forget(ctx, key)
 		if err != nil && !fault.Is(err, fault.NotFound) {
 			continue
@@ -327,7 +329,7 @@
 	}
 }
 
-// setLeaving takes note of whether the platform takes the VM away, which it may take back; a.mu is held.
+// setLeaving starts or cancels the departure of the VM as decided by the platform; a.mu is held.
 func (a *Agent) setLeaving(leaving bool) {
 	if a.leaving == leaving || a.stopping {
 		return
@@ -337,7 +339,7 @@
 		a.gate.Resume()
 		return
 	}
-	a.Recorder.Record(timeline.EndpointLeaving, timeline.Subject{Worker: a.description.Instance()}, "the VM leaves")
+	a.Recorder.Record(timeline.EndpointLeaving, timeline.Subject{Worker: a.description.Instance()}, "the VM is leaving")
 	a.gate.Leave()
-	a.beatSoon()
+	a.heartbeatSoon()
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -10,33 +10,33 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// newMux registers what the agent serves: to its lead, and as the lead while it is one.
+// newMux registers the methods that the agent serves to its leader, and those that it serves while it is the leader.
 func (a *Agent) newMux() *rpc.Mux {
 	m := rpc.NewMux(a.Clock)
-	rpc.Handle(m, control.MethodDesired, a.takeDesired)
+	rpc.Handle(m, control.MethodDesired, a.acceptDesired)
 	rpc.Handle(m, control.MethodAgentTimeline, a.events)
-	asLead(a, m, control.MethodHeartbeat, (*leader.Leader).Heartbeat)
-	asLead(a, m, control.MethodSubscribe, (*leader.Leader).Subscribe)
-	asLead(a, m, control.MethodSubmit, (*leader.Leader).Submit)
-	asLead(a, m, control.MethodJob, (*leader.Leader).Job)
-	asLead(a, m, control.MethodCancel, (*leader.Leader).Cancel)
-	asLead(a, m, control.MethodStatus, (*leader.Leader).Status)
-	asLead(a, m, control.MethodExplain, (*leader.Leader).Explain)
-	asLead(a, m, control.MethodTimeline, (*leader.Leader).Timeline)
+	handleAsLeader(a, m, control.MethodHeartbeat, (*leader.Leader).Heartbeat)
+	handleAsLeader(a, m, control.MethodSubscribe, (*leader.Leader).Subscribe)
+	handleAsLeader(a, m, control.MethodSubmit, (*leader.Leader).Submit)
+	handleAsLeader(a, m, control.MethodJob, (*leader.Leader).Job)
+	handleAsLeader(a, m, control.MethodCancel, (*leader.Leader).Cancel)
+	handleAsLeader(a, m, control.MethodStatus, (*leader.Leader).Status)
+	handleAsLeader(a, m, control.MethodExplain, (*leader.Leader).Explain)
+	handleAsLeader(a, m, control.MethodTimeline, (*leader.Leader).Timeline)
 	return m
 }
 
-// asLead registers a method that only a lead serves.
-func asLead[Req, Res any](a *Agent, m *rpc.Mux, method string,
+// handleAsLeader registers a method that only a leader serves.
+func handleAsLeader[Req, Res any](a *Agent, m *rpc.Mux, method string,
 	handle func(*leader.Leader, context.Context, *rpc.Peer, Req) (Res, error),
 ) {
 	rpc.Handle(m, method, func(ctx context.Context, p *rpc.Peer, request Req) (Res, error) {
 		a.mu.Lock()
-		l := a.lead
+		l := a.leader
 		a.mu.Unlock()
 		if l == nil || !l.Ready() {
-			var none Res
-			return none, fault.New(fault.Stale, "agent %s is not the lead of %s", a.ID, a.cell())
+			var zero Res
+			return zero, fault.New(fault.Stale, "agent %s is not the leader of %s", a.ID, a.cell())
 		}
 		return handle(l, ctx, p, request)
 	})
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSystemGoesOn(t *testing.T) {
+func TestSystemClockAdvances(t *testing.T) {
 	first := System{}.Now()
 	assert.Assert(t, !first.IsZero())
 	<-time.After(2 * time.Millisecond)
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -1,32 +1,32 @@
 package control
 
-// Subscribe asks a lead to push its summaries; it is repeated to see whether the lead still is one.
+// Subscribe asks a leader to push its summaries; entries repeat it to check that the leader still leads.
 type Subscribe struct {
 	Entry string `json:"entry"`
-	// Received is the latest summary that the entry has.
+	// Received is the position of the latest summary that the entry has received.
 	Received Position `json:"seen"`
 }
 
-// SubscribeAnswer carries the load of the cell, and its endpoints if the entry does not have them.
+// SubscribeAnswer returns the load of the cell, and its summary if the entry has not received the latest one.
 type SubscribeAnswer struct {
 	Load    Load     `json:"load"`
 	Summary *Summary `json:"summary,omitempty"`
-	// LeaseExpired says that the lead's lease has lapsed, so that another may lead by now.
+	// LeaseExpired reports whether the leader's lease has expired; another process may lead then.
 	LeaseExpired bool `json:"lapsed,omitempty"`
 }
 
-// Load is what entries need to choose the cell of a job.
+// Load is the load of a cell, by which entries choose the cell of a job.
 type Load struct {
-	// Free is how many processors are free of how many, in thousandths.
+	// Free and Capacity are the free and all processors of the cell, in thousandths.
 	Free     int64 `json:"room"`
 	Capacity int64 `json:"capacity"`
-	// Waiting is how many jobs and services wait for a worker.
+	// Waiting is the number of jobs and services that wait for a worker.
 	Waiting int `json:"waiting"`
-	// Largest is what the largest worker has of each resource.
+	// Largest is the largest capacity of a worker for each resource.
 	Largest Size `json:"largest"`
 }
 
-// Summary is the endpoints of a cell; it is pushed when they change.
+// Summary holds the endpoints of a cell; it is pushed when they change.
 type Summary struct {
 	Cell      string     `json:"cell"`
 	Position  Position   `json:"position"`
@@ -44,10 +44,10 @@
 	Leaving  bool   `json:"leaving,omitempty"`
 }
 
-// Ack answers a message that needs no other answer.
+// Ack is the empty answer to a message.
 type Ack struct{}
 
-// Submit asks to accept a job; the same identifier is accepted once.
+// Submit submits a job; each identifier is accepted once.
 type Submit struct {
 	ID              string `json:"id"`
 	Workload        string `json:"workload"`
@@ -56,12 +56,12 @@
 	SubmittedMillis int64  `json:"submitted_unix_ms"`
 }
 
-// JobQuery asks for a job, or to cancel it.
+// JobQuery identifies the job to return or to cancel.
 type JobQuery struct {
 	ID string `json:"id"`
 }
 
-// Job is how far a job is.
+// Job is the state of a job and the progress of its tasks.
 type Job struct {
 	ID              string `json:"id"`
 	Workload        string `json:"workload"`
@@ -116,12 +116,12 @@
 	Waiting      string  `json:"waiting_because,omitempty"`
 }
 
-// ExplainQuery asks why a task is where it is.
+// ExplainQuery asks for the placement of a task and its reason.
 type ExplainQuery struct {
 	Task string `json:"task"`
 }
 
-// Explanation says why a task is where it is, or why it cannot run.
+// Explanation is the placement of a task with the reason for it, or the reason why the task cannot run.
 type Explanation struct {
 	Task        string `json:"task"`
 	Workload    string `json:"workload"`
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,3 +1,3 @@
-// Package control holds the messages between the system's own processes, as
-// they travel, with the names of their methods.
+// Package control defines the messages between the system's own processes in
+// their wire format, and the names of the methods that exchange them.
 package control
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -1,6 +1,6 @@
 package control
 
-// Methods that a lead serves.
+// Methods that a leader serves.
 const (
 	MethodHeartbeat = "lead.beat"
 	MethodSubscribe = "lead.subscribe"
@@ -12,16 +12,16 @@
 	MethodTimeline  = "lead.timeline"
 )
 
-// Methods that an agent serves to its lead, on the connection that the agent made.
+// Methods that an agent serves to its leader, on the connection that the agent opened.
 const (
 	MethodDesired       = "agent.desired"
 	MethodAgentTimeline = "agent.timeline"
 )
 
-// MethodSummary is served by an entry to the leads that it subscribed to.
+// MethodSummary is the method that an entry serves to the leaders that it has subscribed to.
 const MethodSummary = "entry.summary"
 
-// Position orders what leads tell an agent: a later epoch goes before an earlier one, then the higher revision.
+// Position orders the messages of leaders to an agent: by epoch, then by revision.
 type Position struct {
 	Epoch    uint64 `json:"e"`
 	Revision uint64 `json:"r"`
@@ -32,17 +32,17 @@
 	return p.Epoch < o.Epoch || (p.Epoch == o.Epoch && p.Revision < o.Revision)
 }
 
-// Heartbeat is the heartbeat of an agent; what did not change since the last answered beat is left out.
+// Heartbeat is the heartbeat of an agent; it leaves out what has not changed since the last answered heartbeat.
 type Heartbeat struct {
 	Instance string `json:"i"`
 	Boot     string `json:"b"`
-	// Received is the latest position that the agent was told, Applied the latest that its worker was brought to.
+	// Received is the latest position that the agent has received, Applied the latest that its worker runs.
 	Received     Position `json:"q"`
 	Applied      Position `json:"a"`
 	Stopping     bool     `json:"s,omitempty"`
 	BatchBlocked bool     `json:"p,omitempty"`
 	Evict        bool     `json:"v,omitempty"`
-	// Profile is given with the first beat, and then Statuses are all there are; later ones are those that changed.
+	// Profile is set in the first heartbeat, in which Statuses holds all runs; later heartbeats hold the changed ones.
 	Profile  *Profile  `json:"f,omitempty"`
 	Statuses []Status  `json:"t,omitempty"`
 	Removed  []Run     `json:"g,omitempty"`
@@ -51,7 +51,7 @@
 	Latency  []Latency `json:"y,omitempty"`
 }
 
-// Profile is what does not change while an agent runs.
+// Profile holds the properties of an agent and its VM that are constant while the agent runs.
 type Profile struct {
 	Agent       string `json:"agent"`
 	Hall        string `json:"hall"`
@@ -62,7 +62,7 @@
 	Connections int    `json:"connections"`
 }
 
-// Status is a run that has not ended on the agent's worker.
+// Status is the state of a run on the agent's worker that has not ended.
 type Status struct {
 	Run       Run    `json:"r"`
 	Workload  string `json:"w"`
@@ -70,7 +70,7 @@
 	IsReplica bool   `json:"e,omitempty"`
 }
 
-// Report is a run that has ended on the agent's worker.
+// Report is the final state of a run that has ended on the agent's worker.
 type Report struct {
 	Run           Run    `json:"r"`
 	State         string `json:"s"`
@@ -78,55 +78,55 @@
 	RuntimeMillis int64  `json:"m,omitempty"`
 }
 
-// Usage is what a run was measured to take.
+// Usage is the measured resource usage of a run.
 type Usage struct {
 	Run  Run  `json:"r"`
 	Used Size `json:"z"`
 }
 
-// Latency is how a service on the agent's worker kept its target since the last beat.
+// Latency is the latency of a service on the agent's worker relative to its target since the last heartbeat.
 type Latency struct {
 	Service string  `json:"s"`
 	Load    float64 `json:"l"`
 	Ratio   float64 `json:"r"`
-	// MeanRunMicros is how long requests ran at the endpoint on average.
+	// MeanRunMicros is the mean time in microseconds that requests ran at the endpoint.
 	MeanRunMicros int64 `json:"m"`
 	Samples       int64 `json:"n"`
-	// Neighbors are the batch workloads beside the service, throttled as they were.
+	// Neighbors are the batch workloads co-located with the service, with their throttles applied.
 	Neighbors []Neighbor `json:"b,omitempty"`
 }
 
-// Neighbor is a batch workload with the share of the VM's processors that it was given.
+// Neighbor is a batch workload with its share of the VM's processors.
 type Neighbor struct {
 	Workload string  `json:"w"`
 	Share    float64 `json:"p"`
 }
 
-// HeartbeatAnswer is the lead's answer; Desired is left out if the agent has it already.
+// HeartbeatAnswer is the leader's answer to a heartbeat; Desired is nil if the agent has received the latest position.
 type HeartbeatAnswer struct {
 	Known   bool     `json:"k"`
 	Epoch   uint64   `json:"e,omitempty"`
 	Desired *Desired `json:"d,omitempty"`
 	Acked   []Run    `json:"a,omitempty"`
-	// LeaseExpired says that the lead's lease has lapsed, so that another may lead by now.
+	// LeaseExpired reports whether the leader's lease has expired; another process may lead then.
 	LeaseExpired bool `json:"x,omitempty"`
 }
 
-// Desired is what an agent is to run: all of it, or what changed since a position that the agent has.
+// Desired holds the runs that an agent is to run: all of them, or the changes since the position Base.
 type Desired struct {
 	Position Position `json:"p"`
 	Base     Position `json:"q"`
 	Boot     string   `json:"b"`
-	// Leaving tells the agent that its VM is being taken away.
+	// Leaving reports whether the platform is removing the agent's VM.
 	Leaving bool         `json:"l,omitempty"`
 	Runs    []DesiredRun `json:"r,omitempty"`
 	Removed []Run        `json:"g,omitempty"`
 }
 
-// IsFull reports whether the message is all that the agent is to run.
+// IsFull reports whether the message holds all runs of the agent rather than changes.
 func (d *Desired) IsFull() bool { return d.Base == Position{} }
 
-// DesiredRun is a run with what the agent needs to know of its workload.
+// DesiredRun is a run with the settings of its workload that the agent needs.
 type DesiredRun struct {
 	Run          Run    `json:"r"`
 	Workload     string `json:"w"`
--- a/internal/control/request.go
+++ b/internal/control/request.go
@@ -10,7 +10,7 @@
 	PathHandover = "/hand"
 )
 
-// Headers of a request between the system's own processes and of its answer.
+// Headers of requests between the system's own processes and of their answers.
 const (
 	HeaderSecret     = "Sp-Secret"
 	HeaderExchange   = "Sp-Exchange"
@@ -30,24 +30,24 @@
 	HeaderMoving     = "Sp-Moving"
 )
 
-// OutcomeAnswer says what an agent knows of a request whose answer was lost.
+// OutcomeAnswer reports the outcome of a request whose answer was lost.
 type OutcomeAnswer struct {
-	// Ran is "no" if the agent did not and will not run the request, "unknown" if it may have.
+	// Ran is "no" if the agent did not and will not run the request, "unknown" if it may have run it.
 	Ran string `json:"ran"`
 }
 
-// Handover gives the keys of slots to the next owner.
+// Handover transfers the keys of slots to their next owner.
 type Handover struct {
 	Slots []HandoverSlot `json:"slots"`
 }
 
-// HandoverSlot is the keys of one slot.
+// HandoverSlot holds the keys of one slot.
 type HandoverSlot struct {
 	Slot int           `json:"slot"`
 	Keys []HandoverKey `json:"keys"`
 }
 
-// HandoverKey is a key that ran, with its answer if that is kept.
+// HandoverKey is a key whose request ran, with the answer if it is still kept.
 type HandoverKey struct {
 	Key         string `json:"key"`
 	HasAnswer   bool   `json:"kept"`
@@ -56,17 +56,17 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// Seal asks an agent to refuse requests of the slots under older epochs, and for the keys of them that it has run.
+// Seal asks an agent to refuse requests of slots under older epochs, and to return the keys of these slots that it has run.
 type Seal struct {
 	Slots  []int    `json:"slots"`
 	Epochs []uint64 `json:"epochs"`
 }
 
-// SealAnswer says which keys an agent has run, and for how long it remembers.
+// SealAnswer returns the keys that an agent has run and, in UptimeMillis, for how long it has recorded them.
 type SealAnswer struct {
 	Boot         string `json:"boot"`
 	UptimeMillis int64  `json:"uptime_ms"`
-	// NoEarlierStart says that no earlier start of the agent served on the VM, as far as its worker knows.
+	// NoEarlierStart reports whether no earlier start of the agent has served on the VM, according to its worker.
 	NoEarlierStart bool     `json:"fresh"`
 	Keys           []string `json:"keys"`
 }
--- a/internal/control/secret.go
+++ b/internal/control/secret.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// HasSecret reports whether a request carries the secret that the processes share, in a time that does not tell of it.
+// HasSecret reports whether a request carries the secret that the processes share; the comparison takes constant time.
 func HasSecret(request *fasthttp.Request, secret string) bool {
 	return subtle.ConstantTimeCompare(request.Header.Peek(HeaderSecret), []byte(secret)) == 1
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,8 +13,8 @@
 // next attempt, and entries that do not reach the store by the leader.
 var timing = Timing{Wait: 1500 * time.Millisecond, ConfirmedWait: 10 * time.Second, MaxRetryDelay: 400 * time.Millisecond}
 
-// vouchedFor is how long after it was vouched for a value is known to be the newest.
-const vouchedFor = time.Second
+// confirmationTTL is how long after it was vouched for a value is known to be the newest.
+const confirmationTTL = time.Second
 
 // Value is a decoded value and the revision at which it was written, 0 where the key is absent.
 type Value[T any] struct {
@@ -30,12 +30,12 @@
 	logger logging.Logger
 	done   chan struct{}
 
-	mu       sync.Mutex
-	value    Value[T]
-	known    bool
-	verified time.Time
-	vouched  time.Time
-	changed  chan struct{}
+	mu          sync.Mutex
+	value       Value[T]
+	known       bool
+	verifiedAt  time.Time
+	confirmedAt time.Time
+	changed     chan struct{}
 }
 
 // New returns a follower of a key that has not read it yet.
@@ -59,20 +59,20 @@
 func (f *Follower[T]) Verified() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.verified
+	return f.verifiedAt
 }
 
 // Confirm records that another process that follows the key has confirmed the value just now, so that the store is asked less often.
 func (f *Follower[T]) Confirm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.vouched = time.Now()
+	f.confirmedAt = time.Now()
 }
 
-func (f *Follower[T]) isVouched() bool {
+func (f *Follower[T]) isConfirmed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.vouched) < vouchedFor
+	return time.Since(f.confirmedAt) < confirmationTTL
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -105,11 +105,11 @@
 	if err != nil {
 		return 0, err
 	}
-	return item.Revision(), f.take(item, item.Revision(), asked)
+	return item.Revision(), f.update(item, item.Revision(), asked)
 }
 
-// take keeps an item; at is the revision at which it is known to be the newest.
-func (f *Follower[T]) take(item kv.Item, at kv.Revision, asked time.Time) error {
+// update keeps an item; at is the revision at which it is known to be the newest.
+func (f *Follower[T]) update(item kv.Item, at kv.Revision, asked time.Time) error {
 	var held T
 	if item.Revision() > 0 {
 		decoded, err := f.decode(item.Value())
@@ -120,17 +120,17 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.verified = asked
+	f.verifiedAt = asked
 	if item.Revision() == 0 {
-		f.clear(at)
+		f.setAbsent(at)
 		return nil
 	}
 	f.set(Value[T]{Decoded: held, Revision: item.Revision()})
 	return nil
 }
 
-// clear takes note that the key is absent.
-func (f *Follower[T]) clear(at kv.Revision) {
+// setAbsent takes note that the key is absent.
+func (f *Follower[T]) setAbsent(at kv.Revision) {
 	if f.known && f.value.Revision == 0 {
 		return
 	}
@@ -145,11 +145,11 @@
 // Run follows the key until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
-	NewPrefixFollower(f.store, f.key, timing, f.takeChange, f.logger).WithConfirmed(f.isVouched).Run(ctx, 0)
+	NewPrefixFollower(f.store, f.key, timing, f.applyChange, f.logger).WithConfirmed(f.isConfirmed).Run(ctx, 0)
 }
 
-// takeChange takes what a call told of the key, among others that it is the beginning of.
-func (f *Follower[T]) takeChange(c Change) error {
+// applyChange takes what a call told of the key, among others that it is the beginning of.
+func (f *Follower[T]) applyChange(c Change) error {
 	found := false
 	for _, e := range c.Events {
 		if e.Item().Key() != f.key {
@@ -160,12 +160,12 @@
 		if e.Removed() {
 			item = kv.NewItem(f.key, nil, 0)
 		}
-		if err := f.take(item, e.Item().Revision(), c.RequestedAt); err != nil {
+		if err := f.update(item, e.Item().Revision(), c.RequestedAt); err != nil {
 			return err
 		}
 	}
 	if found || !c.Snapshot {
 		return nil
 	}
-	return f.take(kv.NewItem(f.key, nil, 0), c.Revision, c.RequestedAt)
+	return f.update(kv.NewItem(f.key, nil, 0), c.Revision, c.RequestedAt)
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -14,7 +14,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 )
 
-func text(data []byte) (string, error) { return string(data), nil }
+func decodeText(data []byte) (string, error) { return string(data), nil }
 
 func put(t *testing.T, store *kvtest.Store, key, value string) {
 	t.Helper()
@@ -22,11 +22,11 @@
 	assert.NilError(t, err)
 }
 
-func TestFollowsChangesRemovalsAndForgottenHistory(t *testing.T) {
+func TestFollowsChangesRemovalsAndCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		put(t, store, "other", "x")
-		f := New(store, "key", text, logging.Discard())
+		f := New(store, "key", decodeText, logging.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
 		synctest.Wait()
@@ -56,8 +56,8 @@
 	})
 }
 
-func TestNeverGoesBack(t *testing.T) {
-	f := New(kvtest.New(), "key", text, logging.Discard())
+func TestOlderValueIsIgnored(t *testing.T) {
+	f := New(kvtest.New(), "key", decodeText, logging.Discard())
 	f.Offer(Value[string]{Decoded: "new", Revision: 9})
 	f.Offer(Value[string]{Decoded: "old", Revision: 4})
 	value, known := f.Value()
@@ -66,7 +66,7 @@
 }
 
 func TestChangedIsClosedByAChange(t *testing.T) {
-	f := New(kvtest.New(), "key", text, logging.Discard())
+	f := New(kvtest.New(), "key", decodeText, logging.Discard())
 	changed := f.Changed()
 	f.Offer(Value[string]{Decoded: "new", Revision: 1})
 	select {
@@ -76,20 +76,20 @@
 	}
 }
 
-// failingOnce is a store whose first watch fails, and that counts its ranges.
-type failingOnce struct {
+// firstWatchFails is a store whose first watch fails, and that counts its ranges.
+type firstWatchFails struct {
 	*kvtest.Store
 	watches, ranges int
 }
 
 // Range implements kv.Store.
-func (s *failingOnce) Range(ctx context.Context, prefix string) ([]kv.Item, kv.Revision, error) {
+func (s *firstWatchFails) Range(ctx context.Context, prefix string) ([]kv.Item, kv.Revision, error) {
 	s.ranges++
 	return s.Store.Range(ctx, prefix)
 }
 
 // Watch implements kv.Store.
-func (s *failingOnce) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
+func (s *firstWatchFails) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
 	s.watches++
 	if s.watches == 1 {
 		return nil, after, fault.New(fault.OutcomeUnknown, "the connection went silent")
@@ -97,12 +97,12 @@
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// TestFailedWatchGoesOnWhereItWas failed with a second range: all was read anew, though only a forgotten history asks for that.
-func TestFailedWatchGoesOnWhereItWas(t *testing.T) {
+// TestFailedWatchContinuesFromItsRevision failed with a second range: all was read anew, though only a forgotten history asks for that.
+func TestFailedWatchContinuesFromItsRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &failingOnce{Store: kvtest.New()}
+		store := &firstWatchFails{Store: kvtest.New()}
 		put(t, store.Store, "key", "one")
-		f := New(store, "key", text, logging.Discard())
+		f := New(store, "key", decodeText, logging.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
 		time.Sleep(time.Second)
@@ -116,12 +116,12 @@
 	})
 }
 
-// TestVouchedKeyIsWatchedSeldom, since many processes follow one key: 184 entries that each watched two keys each 1.5 s made 245 calls a second.
-func TestVouchedKeyIsWatchedSeldom(t *testing.T) {
+// TestConfirmedKeyIsWatchedLessOften, since many processes follow one key: 184 entries that each watched two keys each 1.5 s made 245 calls a second.
+func TestConfirmedKeyIsWatchedLessOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &failingOnce{Store: kvtest.New(), watches: 1}
+		store := &firstWatchFails{Store: kvtest.New(), watches: 1}
 		put(t, store.Store, "other", "x")
-		f := New(store, "key", text, logging.Discard())
+		f := New(store, "key", decodeText, logging.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
 		// watches returns how many watches begin within a time, in which the key is vouched for or not.
@@ -131,7 +131,7 @@
 				if vouched {
 					f.Confirm()
 				}
-				time.Sleep(vouchedFor / 2)
+				time.Sleep(confirmationTTL / 2)
 			}
 			return store.watches - before
 		}
@@ -148,46 +148,46 @@
 	})
 }
 
-// deafOnce is a store whose second watch is cut, after which a watch waits without a word for a change that was made meanwhile.
-type deafOnce struct {
+// silentAfterCut is a store whose second watch is cut, after which a watch waits without a word for a change that was made meanwhile.
+type silentAfterCut struct {
 	*kvtest.Store
 	watches int
-	cut     time.Time
+	cutAt   time.Time
 }
 
-// deafFor is how long watches wait without a word.
-const deafFor = time.Second
+// silence is how long watches wait without a word.
+const silence = time.Second
 
 // Watch implements kv.Store.
-func (s *deafOnce) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
+func (s *silentAfterCut) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
 	s.watches++
 	if s.watches == 2 {
-		s.cut = time.Now()
+		s.cutAt = time.Now()
 		return nil, after, fault.New(fault.OutcomeUnknown, "the connection was closed")
 	}
-	if s.watches > 2 && time.Since(s.cut) < deafFor {
+	if s.watches > 2 && time.Since(s.cutAt) < silence {
 		time.Sleep(wait)
 		return nil, after, nil
 	}
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// TestFollowerLooksAgainSoonAfterACut plays what a caller saw on a hunted day: a request was handled by the configuration of before, after another had
+// TestFollowerRetriesSoonAfterCutWatch plays what a caller saw on a hunted day: a request was handled by the configuration of before, after another had
 // been handled by the newer one. The leader's watch had been cut and then waited for a second and a half without a word, and the entry that did not
 // reach the store learned of the configuration by the leader.
-func TestFollowerLooksAgainSoonAfterACut(t *testing.T) {
+func TestFollowerRetriesSoonAfterCutWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &deafOnce{Store: kvtest.New()}
+		store := &silentAfterCut{Store: kvtest.New()}
 		put(t, store.Store, "key", "one")
-		f := New(store, "key", text, logging.Discard())
+		f := New(store, "key", decodeText, logging.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
 		time.Sleep(timing.Wait + 10*time.Millisecond)
-		for store.cut.IsZero() {
+		for store.cutAt.IsZero() {
 			time.Sleep(time.Millisecond)
 		}
 		put(t, store.Store, "key", "two")
-		time.Sleep(deafFor + unsettledWait + retryFirst)
+		time.Sleep(silence + shortWait + minRetryDelay)
 		value, _ := f.Value()
 		assert.Equal(t, value.Decoded, "two")
 		cancel()
--- a/internal/follow/prefix.go
+++ b/internal/follow/prefix.go
@@ -12,8 +12,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// retryFirst bounds the pause after a call that failed; the bound after each further one is twice as long, up to Timing.Retry.
-const retryFirst = 100 * time.Millisecond
+// minRetryDelay bounds the pause after a call that failed; the bound after each further one is twice as long, up to Timing.Retry.
+const minRetryDelay = 100 * time.Millisecond
 
 // Timing is how a prefix is followed.
 type Timing struct {
@@ -42,18 +42,18 @@
 	store  kv.Store
 	prefix string
 	timing Timing
-	take   func(Change) error
+	handle func(Change) error
 	logger logging.Logger
 	clock  boottime.Clock
-	// failed is when a call failed last.
-	failed time.Time
-	// vouched reports whether the keys are known by another way as well, nil where there is none.
-	vouched func() bool
+	// failedAt is when a call failedAt last.
+	failedAt time.Time
+	// confirmed reports whether the keys are known by another way as well, nil where there is none.
+	confirmed func() bool
 }
 
 // NewPrefixFollower returns what hands all changes under a prefix to take; what take fails for is read again.
 func NewPrefixFollower(store kv.Store, prefix string, timing Timing, take func(Change) error, logger logging.Logger) *PrefixFollower {
-	return &PrefixFollower{store: store, prefix: prefix, timing: timing, take: take, logger: logger}
+	return &PrefixFollower{store: store, prefix: prefix, timing: timing, handle: take, logger: logger}
 }
 
 // WithClock sets the clock by which changes tell when they were asked for, and returns the prefix.
@@ -64,31 +64,31 @@
 
 // WithConfirmed sets what tells whether the keys are known by another way as well, and returns the prefix.
 func (p *PrefixFollower) WithConfirmed(vouched func() bool) *PrefixFollower {
-	p.vouched = vouched
+	p.confirmed = vouched
 	return p
 }
 
-// wait returns how long the next watch waits.
-func (p *PrefixFollower) wait() time.Duration {
-	if p.timing.ConfirmedWait > 0 && p.vouched != nil && p.vouched() {
+// watchTimeout returns how long the next watch waits.
+func (p *PrefixFollower) watchTimeout() time.Duration {
+	if p.timing.ConfirmedWait > 0 && p.confirmed != nil && p.confirmed() {
 		return p.timing.ConfirmedWait
 	}
-	if !p.failed.IsZero() && time.Since(p.failed) < unsettledFor {
-		return min(p.timing.Wait, unsettledWait)
+	if !p.failedAt.IsZero() && time.Since(p.failedAt) < shortWaitPeriod {
+		return min(p.timing.Wait, shortWait)
 	}
 	return p.timing.Wait
 }
 
 const (
-	// unsettledFor is how long after a watch failed the next ones wait for unsettledWait at most: a store that has cut watches may let further ones wait
+	// shortWaitPeriod is how long after a watch failed the next ones wait for unsettledWait at most: a store that has cut watches may let further ones wait
 	// without a word for what they missed.
-	unsettledFor  = 2 * time.Second
-	unsettledWait = 300 * time.Millisecond
+	shortWaitPeriod = 2 * time.Second
+	shortWait       = 300 * time.Millisecond
 )
 
 // Run follows the prefix after a revision until ctx ends; revision 0 stands for none that is known.
 func (p *PrefixFollower) Run(ctx context.Context, after kv.Revision) {
-	pause := wait.NewBackoff(min(retryFirst, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
+	pause := wait.NewBackoff(min(minRetryDelay, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
 	for ctx.Err() == nil {
 		next, err := p.Next(ctx, after)
 		if err == nil {
@@ -99,7 +99,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		p.failed = time.Now()
+		p.failedAt = time.Now()
 		if after != 0 {
 			p.logger.Warn("the watch of %s failed; revision=%d reason=%v", p.prefix, after, err)
 		}
@@ -118,9 +118,9 @@
 	}
 	var err error
 	if change.Snapshot {
-		change.Events, change.Revision, err = p.all(ctx)
+		change.Events, change.Revision, err = p.readAll(ctx)
 	} else {
-		change.Events, change.Revision, err = p.store.Watch(ctx, p.prefix, after, p.wait())
+		change.Events, change.Revision, err = p.store.Watch(ctx, p.prefix, after, p.watchTimeout())
 	}
 	if err == nil && change.Revision == 0 {
 		// A watch cannot go on from there.
@@ -129,10 +129,10 @@
 	if err != nil {
 		return 0, err
 	}
-	return change.Revision, p.take(change)
+	return change.Revision, p.handle(change)
 }
 
-func (p *PrefixFollower) all(ctx context.Context) ([]kv.Event, kv.Revision, error) {
+func (p *PrefixFollower) readAll(ctx context.Context) ([]kv.Event, kv.Revision, error) {
 	items, at, err := p.store.Range(ctx, p.prefix)
 	events := make([]kv.Event, 0, len(items))
 	for _, i := range items {
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func TestSecondClickGetsTheFirstAnswer(t *testing.T) {
+func TestRepeatedKeyGetsTheFirstAnswer(t *testing.T) {
 	k := NewKeys()
 	k.Own(1, 1, nil, time.Time{}, start)
 	first, err := k.Begin("pay", 1, start)
@@ -39,7 +39,7 @@
 	assert.Assert(t, !third.IsFirst())
 }
 
-func TestKeyIsFreeOnlyIfNothingRan(t *testing.T) {
+func TestKeyIsReleasedOnlyIfNothingRan(t *testing.T) {
 	cases := []struct {
 		kind  fault.Kind
 		first bool
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestDoubtAndKnownKeysAfterADeath(t *testing.T) {
+func TestKeysAfterPreviousOwnerFailed(t *testing.T) {
 	k := NewKeys()
 	k.Own(1, 2, []string{"ran"}, start.Add(Retention), start)
 	_, err := k.Begin("new", 1, start.Add(time.Minute))
@@ -78,53 +78,53 @@
 // remember what they let in; no key may run twice.
 func TestKeysRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newKeyWorld(t)
+		w := newKeyModel(t)
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			w.step()
 		}
 	})
 }
 
-// keyWorld is entries that own one slot in turn, and an agent that remembers.
-type keyWorld struct {
-	t      *rapid.T
-	owners Owners
-	keys   map[string]*Keys
-	alive  map[string]bool
-	sealed uint64
-	ran    map[string]int
-	letIn  []string
-	now    time.Time
-	made   int
+// keyModel is entries that own one slot in turn, and an agent that remembers.
+type keyModel struct {
+	t           *rapid.T
+	owners      Owners
+	keys        map[string]*Keys
+	alive       map[string]bool
+	sealedEpoch uint64
+	runCount    map[string]int
+	admitted    []string
+	now         time.Time
+	entryCount  int
 }
 
-func newKeyWorld(t *rapid.T) *keyWorld {
-	w := &keyWorld{t: t, keys: make(map[string]*Keys), alive: make(map[string]bool), ran: make(map[string]int), now: start}
+func newKeyModel(t *rapid.T) *keyModel {
+	w := &keyModel{t: t, keys: make(map[string]*Keys), alive: make(map[string]bool), runCount: make(map[string]int), now: start}
 	w.join()
 	w.join()
 	return w
 }
 
-func (w *keyWorld) join() {
-	w.made++
-	name := fmt.Sprint("entry-", w.made)
+func (w *keyModel) join() {
+	w.entryCount++
+	name := fmt.Sprint("entry-", w.entryCount)
 	w.owners = w.owners.Join(name, "x")
 	w.keys[name], w.alive[name] = NewKeys(), true
-	w.take()
+	w.takeOver()
 }
 
-// take has the owner of the slot begin to own it, after it asked the agent if the last owner died.
-func (w *keyWorld) take() {
+// takeOver has the owner of the slot begin to own it, after it asked the agent if the last owner died.
+func (w *keyModel) takeOver() {
 	owner := w.owners.Owner(0)
 	var ran []string
 	if owner.PreviousFailed() {
-		w.sealed = max(w.sealed, owner.Epoch())
-		ran = append(ran, w.letIn...)
+		w.sealedEpoch = max(w.sealedEpoch, owner.Epoch())
+		ran = append(ran, w.admitted...)
 	}
 	w.keys[owner.Entry()].Own(0, owner.Epoch(), ran, time.Time{}, w.now)
 }
 
-func (w *keyWorld) step() {
+func (w *keyModel) step() {
 	w.now = w.now.Add(time.Second)
 	entry := rapid.SampledFrom(w.owners.Members()).Draw(w.t, "entry")
 	switch rapid.IntRange(0, 6).Draw(w.t, "action") {
@@ -132,25 +132,25 @@
 		// Any entry that ever owned the slot may still believe that it does.
 		for name := range w.keys {
 			if name == entry || rapid.Bool().Draw(w.t, "click") {
-				w.click(name, fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(w.t, "key")))
+				w.request(name, fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(w.t, "key")))
 			}
 		}
 	case 4:
-		w.hand(entry)
+		w.transfer(entry)
 	case 5:
 		if len(w.owners.Members()) > 1 {
 			w.alive[entry] = false
 			w.owners = w.owners.RemoveFailed(entry)
-			w.take()
+			w.takeOver()
 		}
 	case 6:
-		if w.made < 6 {
+		if w.entryCount < 6 {
 			w.join()
 		}
 	}
 }
 
-func (w *keyWorld) hand(to string) {
+func (w *keyModel) transfer(to string) {
 	from := w.owners.Owner(0).Entry()
 	if from == to {
 		return
@@ -163,23 +163,23 @@
 	}
 	w.owners = next
 	w.keys[from].Drop(0)
-	w.take()
+	w.takeOver()
 }
 
-// click asks an entry, dead ones too since they may only be paused, to run a key.
-func (w *keyWorld) click(entry, key string) {
+// request asks an entry, dead ones too since they may only be paused, to run a key.
+func (w *keyModel) request(entry, key string) {
 	ticket, err := w.keys[entry].Begin(key, 0, w.now)
 	if err != nil || !ticket.IsFirst() {
 		return
 	}
-	if ticket.Epoch() < w.sealed {
+	if ticket.Epoch() < w.sealedEpoch {
 		ticket.Finish(nil, fault.New(fault.Stale, "the key's owner has changed"))
 		return
 	}
-	w.letIn = append(w.letIn, key)
-	w.ran[key]++
-	if w.ran[key] > 1 {
-		w.t.Fatalf("%s ran %d times", key, w.ran[key])
+	w.admitted = append(w.admitted, key)
+	w.runCount[key]++
+	if w.runCount[key] > 1 {
+		w.t.Fatalf("%s ran %d times", key, w.runCount[key])
 	}
 	ticket.Finish(NewAnswer(200, "", nil), nil)
 }
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -11,9 +11,9 @@
 const Retention = 10 * time.Minute
 
 const (
-	maxKeys       = 32768
-	maxKeptAnswer = 8 << 10
-	maxKeptBytes  = 6 << 20
+	maxKeys           = 32768
+	maxExportedAnswer = 8 << 10
+	maxAnswerBytes    = 6 << 20
 )
 
 // Answer is a whole answer that is handed to each caller that asks with the same key.
@@ -39,11 +39,11 @@
 
 // call is a key in use.
 type call struct {
-	slot   int
-	done   chan struct{}
-	answer *Answer
-	err    error
-	at     time.Time
+	slot      int
+	done      chan struct{}
+	answer    *Answer
+	err       error
+	startedAt time.Time
 }
 
 // Keys is what an owner remembers of its slots; it is safe for use by several goroutines.
@@ -56,10 +56,10 @@
 }
 
 type slotState struct {
-	epoch      uint64
-	ready      bool
-	doubtUntil time.Time
-	running    int
+	epoch        uint64
+	ready        bool
+	unknownUntil time.Time
+	running      int
 }
 
 // NewKeys returns an owner of no slots.
@@ -80,7 +80,7 @@
 func (k *Keys) Begin(key string, slot int, now time.Time) (*Ticket, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.forget(now)
+	k.expire(now)
 	s, ok := k.slots[slot]
 	if c, known := k.calls[key]; known {
 		return &Ticket{keys: k, key: key, call: c}, nil
@@ -88,13 +88,13 @@
 	if !ok || !s.ready {
 		return nil, fault.New(fault.OutcomeUnknown, "the owner of the key is changing")
 	}
-	if now.Before(s.doubtUntil) {
+	if now.Before(s.unknownUntil) {
 		return nil, fault.New(fault.OutcomeUnknown, "an owner of the key died, and an agent that may have run it cannot be asked")
 	}
 	if len(k.calls) >= maxKeys {
 		return nil, fault.New(fault.Overloaded, "too many keys are in use")
 	}
-	c := &call{slot: slot, done: make(chan struct{}), at: now}
+	c := &call{slot: slot, done: make(chan struct{}), startedAt: now}
 	k.calls[key] = c
 	k.order = append(k.order, key)
 	s.running++
@@ -131,28 +131,28 @@
 	close(t.call.done)
 }
 
-// forget drops what is old, and the bodies of answers that take too much room; k.mu is held.
-func (k *Keys) forget(now time.Time) {
+// expire drops what is old, and the bodies of answers that take too much room; k.mu is held.
+func (k *Keys) expire(now time.Time) {
 	for len(k.order) > 0 {
 		c, ok := k.calls[k.order[0]]
-		if ok && (now.Sub(c.at) < Retention || !isClosed(c.done)) {
+		if ok && (now.Sub(c.startedAt) < Retention || !isClosed(c.done)) {
 			break
 		}
 		if ok {
-			k.release(c)
+			k.dropAnswer(c)
 			delete(k.calls, k.order[0])
 		}
 		k.order = k.order[1:]
 	}
-	for i := 0; i < len(k.order) && k.bytes > maxKeptBytes; i++ {
+	for i := 0; i < len(k.order) && k.bytes > maxAnswerBytes; i++ {
 		if c, ok := k.calls[k.order[i]]; ok && isClosed(c.done) {
-			k.release(c)
+			k.dropAnswer(c)
 		}
 	}
 }
 
-// release drops the answer of a call, which from then on is known only to have run; k.mu is held.
-func (k *Keys) release(c *call) {
+// dropAnswer drops the answer of a call, which from then on is known only to have run; k.mu is held.
+func (k *Keys) dropAnswer(c *call) {
 	if c.answer == nil {
 		return
 	}
--- a/internal/idempotency/owners.go
+++ b/internal/idempotency/owners.go
@@ -21,9 +21,9 @@
 
 // Owner is who owns a slot, and whether the last owner handed it over or died.
 type Owner struct {
-	entry string
-	epoch uint64
-	doubt bool
+	entry          string
+	epoch          uint64
+	previousFailed bool
 }
 
 // Entry returns the entry that owns the slot, empty for none yet.
@@ -33,7 +33,7 @@
 func (o Owner) Epoch() uint64 { return o.epoch }
 
 // PreviousFailed reports whether the owner before died without a handover.
-func (o Owner) PreviousFailed() bool { return o.doubt }
+func (o Owner) PreviousFailed() bool { return o.previousFailed }
 
 // Owners is the document that says which entry owns each slot.
 type Owners struct {
@@ -102,7 +102,7 @@
 		if held.entry != entry {
 			continue
 		}
-		next.slots[i] = Owner{entry: next.Preferred(i), epoch: held.epoch + 1, doubt: true}
+		next.slots[i] = Owner{entry: next.Preferred(i), epoch: held.epoch + 1, previousFailed: true}
 	}
 	return next
 }
@@ -120,17 +120,17 @@
 }
 
 type ownerWire struct {
-	_     struct{} `cbor:",toarray"`
-	Entry string
-	Epoch uint64
-	Doubt bool
+	_              struct{} `cbor:",toarray"`
+	Entry          string
+	Epoch          uint64
+	PreviousFailed bool
 }
 
 // EncodeOwners returns the bytes of the document as the store keeps them.
 func EncodeOwners(o Owners) ([]byte, error) {
 	wire := ownersWire{Members: o.members}
 	for _, s := range o.slots {
-		wire.Slots = append(wire.Slots, ownerWire{Entry: s.entry, Epoch: s.epoch, Doubt: s.doubt})
+		wire.Slots = append(wire.Slots, ownerWire{Entry: s.entry, Epoch: s.epoch, PreviousFailed: s.previousFailed})
 	}
 	value, err := cbor.Marshal(wire)
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 	o := Owners{members: wire.Members}
 	for i, s := range wire.Slots {
-		o.slots[i] = Owner{entry: s.Entry, epoch: s.Epoch, doubt: s.Doubt}
+		o.slots[i] = Owner{entry: s.Entry, epoch: s.Epoch, previousFailed: s.PreviousFailed}
 	}
 	return o, nil
 }
--- a/internal/idempotency/slots.go
+++ b/internal/idempotency/slots.go
@@ -16,17 +16,17 @@
 	if ok && s.epoch >= epoch {
 		return
 	}
-	k.slots[slot] = &slotState{epoch: epoch, ready: true, doubtUntil: doubtUntil}
+	k.slots[slot] = &slotState{epoch: epoch, ready: true, unknownUntil: doubtUntil}
 	for _, key := range ran {
 		if _, known := k.calls[key]; known {
 			continue
 		}
-		k.add(key, &call{slot: slot, at: now, err: fault.New(fault.OutcomeUnknown, "an earlier owner of the key let the request run")})
+		k.addFinished(key, &call{slot: slot, startedAt: now, err: fault.New(fault.OutcomeUnknown, "an earlier owner of the key let the request run")})
 	}
 }
 
-// add keeps a call that has ended; k.mu is held.
-func (k *Keys) add(key string, c *call) {
+// addFinished keeps a call that has ended; k.mu is held.
+func (k *Keys) addFinished(key string, c *call) {
 	c.done = make(chan struct{})
 	close(c.done)
 	k.calls[key] = c
@@ -75,7 +75,7 @@
 	delete(k.slots, slot)
 	for key, c := range k.calls {
 		if c.slot == slot && isClosed(c.done) {
-			k.release(c)
+			k.dropAnswer(c)
 			delete(k.calls, key)
 		}
 	}
@@ -106,7 +106,7 @@
 			continue
 		}
 		answer := c.answer
-		if answer != nil && len(answer.body) > maxKeptAnswer {
+		if answer != nil && len(answer.body) > maxExportedAnswer {
 			answer = nil
 		}
 		kept = append(kept, NewKeyResult(key, answer))
@@ -122,10 +122,10 @@
 		if _, known := k.calls[h.key]; known {
 			continue
 		}
-		c := &call{slot: slot, at: now, answer: h.answer}
+		c := &call{slot: slot, startedAt: now, answer: h.answer}
 		if h.answer == nil {
 			c.err = fault.New(fault.OutcomeUnknown, "an earlier owner of the key let the request run")
 		}
-		k.add(h.key, c)
+		k.addFinished(h.key, c)
 	}
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -20,7 +20,7 @@
 		Store:  relay.New(p.store, p.health, p.pool), Pool: p.pool, Clock: p.clock, Uptime: boottime.System{}, Random: rand.Float64, Secret: secret,
 		Logger: p.logger.Named("agent"), Metrics: p.metrics,
 	})
-	reports, err := serve(p.settings.Reports(), "listen.reports", mostLocal, platform.HandleReports(r))
+	reports, err := serve(p.settings.Reports(), "listen.reports", maxLocalConnections, platform.HandleReports(r))
 	if err != nil {
 		return err
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -22,27 +22,27 @@
 	"github.com/saffronpulley/saffronpulley/platform"
 )
 
-// stopShare is the part of the grace for which a stopping entry still serves callers. The platform sends new connections
+// drainShare is the part of the grace for which a stopping entry still serves callers. The platform sends new connections
 // elsewhere within two seconds and requests take up to three; closing what is left takes at most two more seconds.
-const stopShare = 0.6
+const drainShare = 0.6
 
 // entry is the process that serves callers and may lead.
 type entry struct {
 	*process
-	desk       *intake.Server
+	server     *intake.Server
 	policies   *intake.Policies
-	lead       *follow.Follower[record.Leader]
+	leader     *follow.Follower[record.Leader]
 	dispatcher *dispatch.Dispatcher
 	pinger     *intake.Pinger
 	stopping   atomic.Bool
-	// refusals bounds the log lines about refused connections.
-	refusals rate.Sometimes
+	// refusalLog bounds the log lines about refused connections.
+	refusalLog rate.Sometimes
 }
 
 func (p *process) runEntry(ctx context.Context) error {
-	e := &entry{process: p, refusals: rate.Sometimes{Interval: refusedEvery}}
+	e := &entry{process: p, refusalLog: rate.Sometimes{Interval: refusalLogInterval}}
 	e.policies = intake.NewPolicies(p.store, platform.PolicyKey, platform.DecodePolicy, p.logger.Named("configuration"))
-	e.lead = follow.New(p.store, record.LeaderKey, record.DecodeLeader, p.logger.Named("lead"))
+	e.leader = follow.New(p.store, record.LeaderKey, record.DecodeLeader, p.logger.Named("lead"))
 	var advisor dispatch.Advisor
 	if address := p.settings.Advice(); address != "" {
 		advisor = platform.NewAdvice(address, p.logger.Named("advice"))
@@ -52,14 +52,14 @@
 		Process: p.settings.ID(), Boot: p.boot, Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
 		Closures: hall.New(p.store, platform.ClosuresPrefix, p.settings.ClosureDelay(), boottime.System{}, p.logger.Named("closures")),
 		Uptime:   boottime.System{},
-		Store:    p.store, Health: p.health, Leader: e.lead, Policies: e.policies, Logger: p.logger.Named("dispatch"), Metrics: p.metrics,
+		Store:    p.store, Health: p.health, Leader: e.leader, Policies: e.policies, Logger: p.logger.Named("dispatch"), Metrics: p.metrics,
 	})
-	e.desk = intake.New(intake.Config{
-		Store: relay.New(p.store, p.health, p.pool), Pool: p.pool, Policies: e.policies, Leader: e.lead, Dispatcher: e.dispatcher,
+	e.server = intake.New(intake.Config{
+		Store: relay.New(p.store, p.health, p.pool), Pool: p.pool, Policies: e.policies, Leader: e.leader, Dispatcher: e.dispatcher,
 		Direct: p.store, Health: p.health, Logger: p.logger.Named("intake"), Metrics: p.metrics,
 	})
 	e.dispatcher.Register(p.mux)
-	e.pinger = intake.NewPinger(e.desk, intake.Self{
+	e.pinger = intake.NewPinger(e.server, intake.Self{
 		Process: p.settings.ID(), Address: p.settings.PeerAddress(), Strength: p.settings.Strength(),
 	}, e.dispatcher)
 	e.pinger.Register(p.mux)
@@ -91,10 +91,10 @@
 			return serve(s.Callers(), "listen.callers", s.Limits().callers, e.callers())
 		}},
 		{start: func() (*admin.Server, error) {
-			return serve(s.Ready(), "listen.ready", mostLocal, platform.HandleReady(e.ready))
+			return serve(s.Ready(), "listen.ready", maxLocalConnections, platform.HandleReady(e.ready))
 		}},
 		{start: func() (*admin.Server, error) {
-			return serve(s.Reports(), "listen.reports", mostLocal, platform.HandleReports(noReports{}))
+			return serve(s.Reports(), "listen.reports", maxLocalConnections, platform.HandleReports(noReports{}))
 		}},
 		{start: func() (*admin.Server, error) { return e.serveMetrics(e.ready) }},
 	} {
@@ -107,14 +107,14 @@
 	return servers, nil
 }
 
-// refusedEvery is how often refused connections of other processes are logged at most; all are counted.
-const refusedEvery = 2 * time.Second
+// refusalLogInterval is how often refused connections of other processes are logged at most; all are counted.
+const refusalLogInterval = 2 * time.Second
 
 // refusedPeer counts and logs a connection of another process that was refused since all are taken.
 func (e *entry) refusedPeer() {
 	refused := e.metrics.Counter("peers.refused")
 	refused.Inc(1)
-	e.refusals.Do(func() {
+	e.refusalLog.Do(func() {
 		e.logger.Warn("connections of other processes are refused; limit=%d refused=%d", e.settings.Limits().peers, refused.Count())
 	})
 }
@@ -129,19 +129,19 @@
 	lasting, end := context.WithCancel(context.Background())
 	defer end()
 	go e.policies.Run(lasting)
-	go e.lead.Run(lasting)
+	go e.leader.Run(lasting)
 	go e.pinger.Run(lasting)
 	go e.dispatcher.Run(ctx)
 	<-ctx.Done()
 	e.stopping.Store(true)
-	wait := time.Duration(stopShare * float64(e.settings.Grace()))
+	wait := time.Duration(drainShare * float64(e.settings.Grace()))
 	e.logger.Info("process: stopping; callers are served for %s", wait)
 	time.Sleep(wait)
 }
 
 // callers serves callers; while the process stops they are asked to connect anew, to another entry.
 func (e *entry) callers() fasthttp.RequestHandler {
-	handle := platform.HandleCallers(e.desk)
+	handle := platform.HandleCallers(e.server)
 	return func(ctx *fasthttp.RequestCtx) {
 		handle(ctx)
 		if e.stopping.Load() {
--- a/internal/node/measured.go
+++ b/internal/node/measured.go
@@ -19,8 +19,8 @@
 
 var _ kv.Store = measuredStore{}
 
-// note counts a call that began at a time.
-func (m measuredStore) note(call string, began time.Time, err error) {
+// record counts a call that began at a time.
+func (m measuredStore) record(call string, began time.Time, err error) {
 	m.health.Record(began, err)
 	outcome := "done"
 	if err != nil {
@@ -34,7 +34,7 @@
 func (m measuredStore) Get(ctx context.Context, key string) (kv.Item, error) {
 	began := time.Now()
 	item, err := m.store.Get(ctx, key)
-	m.note("get", began, err)
+	m.record("get", began, err)
 	return item, err
 }
 
@@ -42,7 +42,7 @@
 func (m measuredStore) Range(ctx context.Context, prefix string) ([]kv.Item, kv.Revision, error) {
 	began := time.Now()
 	items, at, err := m.store.Range(ctx, prefix)
-	m.note("range", began, err)
+	m.record("range", began, err)
 	return items, at, err
 }
 
@@ -50,7 +50,7 @@
 func (m measuredStore) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
 	began := time.Now()
 	events, at, err := m.store.Watch(ctx, prefix, after, wait)
-	m.note("watch", began, err)
+	m.record("watch", began, err)
 	return events, at, err
 }
 
@@ -58,7 +58,7 @@
 func (m measuredStore) Commit(ctx context.Context, change kv.Txn) (kv.Revision, error) {
 	began := time.Now()
 	revision, err := m.store.Commit(ctx, change)
-	m.note("commit", began, err)
+	m.record("commit", began, err)
 	return revision, err
 }
 
@@ -66,7 +66,7 @@
 func (m measuredStore) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	began := time.Now()
 	lease, err := m.store.Grant(ctx, ttl)
-	m.note("grant", began, err)
+	m.record("grant", began, err)
 	return lease, err
 }
 
@@ -74,7 +74,7 @@
 func (m measuredStore) Renew(ctx context.Context, lease kv.LeaseID) error {
 	began := time.Now()
 	err := m.store.Renew(ctx, lease)
-	m.note("renew", began, err)
+	m.record("renew", began, err)
 	return err
 }
 
@@ -82,6 +82,6 @@
 func (m measuredStore) End(ctx context.Context, lease kv.LeaseID) error {
 	began := time.Now()
 	err := m.store.End(ctx, lease)
-	m.note("end", began, err)
+	m.record("end", began, err)
 	return err
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,14 +27,14 @@
 	secret = "saffronpulley-processes"
 	// memoryShare is the part of the VM's memory that the collector keeps to.
 	memoryShare = 0.6
-	// collectAt lets the heap of the small processes grow before it is collected, which costs processor time.
-	collectAt = 300
+	// gcPercent lets the heap of the small processes grow before it is collected, which costs processor time.
+	gcPercent = 300
 	// bodyLimit is above what the operators' limits allow; a job over the latter is refused with a sentence.
 	bodyLimit   = 4 << 20
 	readTimeout = 30 * time.Second
 	idleTimeout = 2 * time.Minute
-	// mostLocal bounds the connections of those who share the VM or look after it: the worker, the platform's checks, operators.
-	mostLocal = 128
+	// maxLocalConnections bounds the connections of those who share the VM or look after it: the worker, the platform's checks, operators.
+	maxLocalConnections = 128
 )
 
 // process is what both roles share.
@@ -62,7 +62,7 @@
 	}
 	defer logger.Flush()
 	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes())))
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	p := &process{
 		settings: settings, boot: ulid.Make().String(), logger: logger, clock: timeline.NewClock(time.Now),
 		metrics: metric.New(), health: &kv.Health{},
@@ -118,7 +118,7 @@
 // serveMetrics serves the metrics of the process.
 func (p *process) serveMetrics(ready func() bool) (*admin.Server, error) {
 	health := admin.Health{Ready: ready, Metrics: p.metrics}
-	return serve(p.settings.MetricsAddress(), "ports.metrics", mostLocal, func(ctx *fasthttp.RequestCtx) {
+	return serve(p.settings.MetricsAddress(), "ports.metrics", maxLocalConnections, func(ctx *fasthttp.RequestCtx) {
 		if !health.Handle(ctx) {
 			ctx.SetStatusCode(fasthttp.StatusNotFound)
 		}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -42,17 +42,17 @@
 		// Peers is where an entry listens for other processes; empty for address and ports.peers, where they connect to.
 		Peers string `yaml:"peers"`
 	} `yaml:"listen"`
-	Neighbors string `yaml:"neighbors"`
-	Worker    string `yaml:"worker"`
-	Store     string `yaml:"store"`
-	Advice    string `yaml:"advice"`
+	KnownEntries string `yaml:"neighbors"`
+	Worker       string `yaml:"worker"`
+	Store        string `yaml:"store"`
+	Advice       string `yaml:"advice"`
 	// GraceSeconds is how long after SIGTERM the process is killed.
 	GraceSeconds float64 `yaml:"grace_s"`
-	// ClosedMillis is within how many milliseconds nothing starts in a closed hall any more, 0 where the platform tells none.
-	ClosedMillis float64 `yaml:"closed_ms"`
-	// LongestHoldMillis is the longest time for which a worker lets itself be held, 0 where the platform tells none.
-	LongestHoldMillis float64 `yaml:"longest_hold_ms"`
-	Log               string  `yaml:"log"`
+	// ClosureMillis is within how many milliseconds nothing starts in a closed hall any more, 0 where the platform tells none.
+	ClosureMillis float64 `yaml:"closed_ms"`
+	// MaxRenewalMillis is the longest time for which a worker lets itself be held, 0 where the platform tells none.
+	MaxRenewalMillis float64 `yaml:"longest_hold_ms"`
+	Log              string  `yaml:"log"`
 }
 
 // Settings are the checked settings of a process.
@@ -90,17 +90,17 @@
 		return fault.New(fault.BadInput, "strength is %v; give the VM's share of a core, above 0", f.Strength)
 	case f.GraceSeconds <= 0:
 		return fault.New(fault.BadInput, "grace_s is %v; give the seconds from SIGTERM to the kill, above 0", f.GraceSeconds)
-	case f.ClosedMillis < 0:
+	case f.ClosureMillis < 0:
 		return fault.New(fault.BadInput, "closed_ms is %v; give the milliseconds within which a closed hall gets nothing new, 0 for %v",
-			f.ClosedMillis, defaultClosed)
-	case f.LongestHoldMillis < 0:
+			f.ClosureMillis, defaultClosureDelay)
+	case f.MaxRenewalMillis < 0:
 		return fault.New(fault.BadInput, "longest_hold_ms is %v; give the milliseconds for which a worker lets itself be held, 0 for %v",
-			f.LongestHoldMillis, defaultLongestHold)
-	case f.MemoryMB < leastMemoryMB:
-		return fault.New(fault.BadInput, "memory_mb is %d; at least %d are needed", f.MemoryMB, leastMemoryMB)
-	case f.Descriptors != 0 && f.Descriptors < leastDescriptors:
+			f.MaxRenewalMillis, defaultMaxRenewal)
+	case f.MemoryMB < minMemoryMB:
+		return fault.New(fault.BadInput, "memory_mb is %d; at least %d are needed", f.MemoryMB, minMemoryMB)
+	case f.Descriptors != 0 && f.Descriptors < minDescriptors:
 		return fault.New(fault.BadInput, "descriptors is %d; at least %d are needed, or 0 where the number is not known",
-			f.Descriptors, leastDescriptors)
+			f.Descriptors, minDescriptors)
 	}
 	if _, err := netip.ParseAddr(f.Address); err != nil {
 		return fault.New(fault.BadInput, "address is %q; give the IP number of the VM", f.Address)
@@ -113,17 +113,17 @@
 	return s.checkAddresses()
 }
 
-// defaultClosed is within what time a closed hall gets nothing new where the platform tells no time.
-const defaultClosed = 5 * time.Second
+// defaultClosureDelay is within what time a closed hall gets nothing new where the platform tells no time.
+const defaultClosureDelay = 5 * time.Second
 
-// defaultLongestHold is for how long a worker is taken to let itself be held where the platform tells no time.
-const defaultLongestHold = 10 * time.Second
+// defaultMaxRenewal is for how long a worker is taken to let itself be held where the platform tells no time.
+const defaultMaxRenewal = 10 * time.Second
 
-// leastDescriptors leaves some connections for others beside what is reserved.
-const leastDescriptors = 2 * reservedDescriptors
+// minDescriptors leaves some connections for others beside what is reserved.
+const minDescriptors = 2 * reservedDescriptors
 
-// leastMemoryMB is what the runtime and a small state take.
-const leastMemoryMB = 32
+// minMemoryMB is what the runtime and a small state take.
+const minMemoryMB = 32
 
 func (s *Settings) checkAddresses() error {
 	f := s.file
@@ -162,10 +162,10 @@
 func (s *Settings) MemoryBytes() int64 { return int64(s.file.MemoryMB) << 20 }
 
 // Limits returns how many connections of others the process takes.
-func (s *Settings) Limits() shares { return connectionShares(s.file.Descriptors, s.MemoryBytes()) }
+func (s *Settings) Limits() limits { return connectionLimits(s.file.Descriptors, s.MemoryBytes()) }
 
 // PeerAddress returns where other processes reach this one.
-func (s *Settings) PeerAddress() string { return s.at(s.file.Address, s.file.Ports.Peers) }
+func (s *Settings) PeerAddress() string { return s.hostPort(s.file.Address, s.file.Ports.Peers) }
 
 // ListenPeers returns where an entry listens for other processes.
 func (s *Settings) ListenPeers() string {
@@ -176,20 +176,22 @@
 }
 
 // MetricsAddress returns where the metrics are served.
-func (s *Settings) MetricsAddress() string { return s.at(s.file.Address, s.file.Ports.Metrics) }
+func (s *Settings) MetricsAddress() string { return s.hostPort(s.file.Address, s.file.Ports.Metrics) }
 
 // KnownEntries returns where some entries may be reached; all processes use the same port.
 func (s *Settings) KnownEntries() []string {
 	var found []string
-	for _, address := range strings.Split(s.file.Neighbors, ",") {
+	for _, address := range strings.Split(s.file.KnownEntries, ",") {
 		if a, err := netip.ParseAddrPort(strings.TrimSpace(address)); err == nil {
-			found = append(found, s.at(a.Addr().String(), s.file.Ports.Peers))
+			found = append(found, s.hostPort(a.Addr().String(), s.file.Ports.Peers))
 		}
 	}
 	return found
 }
 
-func (s *Settings) at(address string, port int) string { return address + ":" + strconv.Itoa(port) }
+func (s *Settings) hostPort(address string, port int) string {
+	return address + ":" + strconv.Itoa(port)
+}
 
 // Callers returns where an entry listens for callers.
 func (s *Settings) Callers() string { return s.file.Listen.Callers }
@@ -213,18 +215,18 @@
 
 // ClosureDelay returns within what time nothing starts any more in a hall that the operators have closed.
 func (s *Settings) ClosureDelay() time.Duration {
-	if s.file.ClosedMillis == 0 {
-		return defaultClosed
+	if s.file.ClosureMillis == 0 {
+		return defaultClosureDelay
 	}
-	return time.Duration(s.file.ClosedMillis * float64(time.Millisecond))
+	return time.Duration(s.file.ClosureMillis * float64(time.Millisecond))
 }
 
 // MaxRenewal returns the longest time for which a worker lets itself be held.
 func (s *Settings) MaxRenewal() time.Duration {
-	if s.file.LongestHoldMillis == 0 {
-		return defaultLongestHold
+	if s.file.MaxRenewalMillis == 0 {
+		return defaultMaxRenewal
 	}
-	return time.Duration(s.file.LongestHoldMillis * float64(time.Millisecond))
+	return time.Duration(s.file.MaxRenewalMillis * float64(time.Millisecond))
 }
 
 // Advice returns the address of the service that advises queues, empty where there is none.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-const goodSettings = `
+const validSettings = `
 id: side-1
 role: agent
 address: 10.1.0.14
@@ -27,7 +27,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(goodSettings))
+	s, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.PeerAddress(), "10.1.0.14:7720")
 	assert.DeepEqual(t, s.KnownEntries(), []string{"10.1.0.13:7720", "10.2.0.30:7720"})
@@ -35,17 +35,17 @@
 	assert.Equal(t, s.ListenPeers(), s.PeerAddress())
 	assert.Equal(t, s.ClosureDelay(), 5*time.Second, "where the platform tells none")
 	for text, within := range map[string]time.Duration{"closed_ms:": 5 * time.Second, "closed_ms: 4000": 4 * time.Second} {
-		s, err = Parse([]byte(goodSettings + text + "\n"))
+		s, err = Parse([]byte(validSettings + text + "\n"))
 		assert.NilError(t, err)
 		assert.Equal(t, s.ClosureDelay(), within)
 	}
-	s, err = Parse([]byte(strings.Replace(goodSettings, "listen: {", "listen: { peers: \"10.1.0.14:7730\",", 1)))
+	s, err = Parse([]byte(strings.Replace(validSettings, "listen: {", "listen: { peers: \"10.1.0.14:7730\",", 1)))
 	assert.NilError(t, err)
 	assert.Equal(t, s.ListenPeers(), "10.1.0.14:7730")
 	assert.Equal(t, s.PeerAddress(), "10.1.0.14:7720")
 }
 
-func TestWrongSettingsAreRefusedWithASentence(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for change, sentence := range map[string]string{
 		"id: side-1>id: ''":                             "id is missing",
 		"role: agent>role: cook":                        "role is \"cook\"",
@@ -65,8 +65,8 @@
 		"reports: \"10.1.0.14:8166\">reports: \"8166\"": "listen.reports is \"8166\"",
 	} {
 		from, to, _ := strings.Cut(change, ">")
-		assert.Assert(t, strings.Contains(goodSettings, from), from)
-		_, err := Parse([]byte(strings.Replace(goodSettings, from, to, 1)))
+		assert.Assert(t, strings.Contains(validSettings, from), from)
+		_, err := Parse([]byte(strings.Replace(validSettings, from, to, 1)))
 		assert.ErrorContains(t, err, sentence)
 		assert.Assert(t, fault.Is(err, fault.BadInput))
 	}
