--- a/internal/follow/doc.go
+++ b/internal/follow/doc.go
@@ -1,2 +1,2 @@
-// Package follow keeps the newest value of one key of the store and never goes back to an older one.
+// Package follow watches keys of the store and keeps the newest value of each, never replacing it by an older one.
 package follow
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -9,14 +9,14 @@
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 )
 
-// timing lets each of many processes follow a key with few calls beside the store's rate. A leader whose watch is cut learns of a configuration by the
-// next attempt, and entries that do not reach the store by the leader.
+// timing keeps the calls of many processes that follow one key far below the store's rate limit. A leader whose watch is cut reads a new configuration
+// with its next attempt; entries that cannot reach the store receive it from the leader.
 var timing = Timing{Wait: 1500 * time.Millisecond, ConfirmedWait: 10 * time.Second, MaxRetryDelay: 400 * time.Millisecond}
 
-// confirmationTTL is how long after it was vouched for a value is known to be the newest.
+// confirmationTTL is how long a value counts as the newest after another process has confirmed it.
 const confirmationTTL = time.Second
 
-// Value is a decoded value and the revision at which it was written, 0 where the key is absent.
+// Value is a decoded value with the revision at which it was written, 0 if the key is absent.
 type Value[T any] struct {
 	Decoded  T
 	Revision kv.Revision
@@ -38,31 +38,31 @@
 	changed     chan struct{}
 }
 
-// New returns a follower of a key that has not read it yet.
+// New returns a follower of a key, which it has not read yet.
 func New[T any](store kv.Store, key string, decode func([]byte) (T, error), logger logging.Logger) *Follower[T] {
 	return &Follower[T]{
 		store: store, key: key, decode: decode, logger: logger, done: make(chan struct{}), changed: make(chan struct{}),
 	}
 }
 
-// Done returns the channel that is closed when Run has ended.
+// Done returns a channel that is closed when Run returns.
 func (f *Follower[T]) Done() <-chan struct{} { return f.done }
 
-// Value returns the newest value and whether the key was read or offered at all.
+// Value returns the newest value, and reports whether the key has been read or offered yet.
 func (f *Follower[T]) Value() (Value[T], bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.value, f.known
 }
 
-// Verified returns when the store last confirmed the value.
+// Verified returns the start of the last call by which the store confirmed the value.
 func (f *Follower[T]) Verified() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.verifiedAt
 }
 
-// Confirm records that another process that follows the key has confirmed the value just now, so that the store is asked less often.
+// Confirm records that another process that follows the key has confirmed the value, so that watches may wait longer.
 func (f *Follower[T]) Confirm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return f.changed
 }
 
-// Offer takes a value that came another way, unless a newer one is known.
+// Offer sets a value that was not received from the store, unless a newer one is known.
 func (f *Follower[T]) Offer(v Value[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,39 +98,39 @@
 	f.changed = make(chan struct{})
 }
 
-// Refresh reads the key as of now.
+// Refresh reads the current value of the key, and returns its revision.
 func (f *Follower[T]) Refresh(ctx context.Context) (kv.Revision, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	item, err := f.store.Get(ctx, f.key)
 	if err != nil {
 		return 0, err
 	}
-	return item.Revision(), f.update(item, item.Revision(), asked)
+	return item.Revision(), f.update(item, item.Revision(), requestedAt)
 }
 
-// update keeps an item; at is the revision at which it is known to be the newest.
-func (f *Follower[T]) update(item kv.Item, at kv.Revision, asked time.Time) error {
-	var held T
+// update sets the value by an item that is the newest as of the revision at.
+func (f *Follower[T]) update(item kv.Item, at kv.Revision, requestedAt time.Time) error {
+	var value T
 	if item.Revision() > 0 {
 		decoded, err := f.decode(item.Value())
 		if err != nil {
 			return err
 		}
-		held = decoded
+		value = decoded
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.verifiedAt = asked
+	f.verifiedAt = requestedAt
 	if item.Revision() == 0 {
-		f.setAbsent(at)
+		f.clear(at)
 		return nil
 	}
-	f.set(Value[T]{Decoded: held, Revision: item.Revision()})
+	f.set(Value[T]{Decoded: value, Revision: item.Revision()})
 	return nil
 }
 
-// setAbsent takes note that the key is absent.
-func (f *Follower[T]) setAbsent(at kv.Revision) {
+// clear records that the key is absent as of the revision at.
+func (f *Follower[T]) clear(at kv.Revision) {
 	if f.known && f.value.Revision == 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 	NewPrefixFollower(f.store, f.key, timing, f.applyChange, f.logger).WithConfirmed(f.isConfirmed).Run(ctx, 0)
 }
 
-// applyChange takes what a call told of the key, among others that it is the beginning of.
+// applyChange applies the events of the key, and skips those of other keys that the key is a prefix of.
 func (f *Follower[T]) applyChange(c Change) error {
 	found := false
 	for _, e := range c.Events {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// firstWatchFails is a store whose first watch fails, and that counts its ranges.
+// firstWatchFails is a store whose first watch fails; it counts its watches and ranges.
 type firstWatchFails struct {
 	*kvtest.Store
 	watches, ranges int
@@ -92,12 +92,12 @@
 func (s *firstWatchFails) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
 	s.watches++
 	if s.watches == 1 {
-		return nil, after, fault.New(fault.OutcomeUnknown, "the connection went silent")
+		return nil, after, fault.New(fault.OutcomeUnknown, "the connection stopped responding")
 	}
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// TestFailedWatchContinuesFromItsRevision failed with a second range: all was read anew, though only a forgotten history asks for that.
+// TestFailedWatchContinuesFromItsRevision guards against a second range after a failed watch: only a compacted history requires reading all keys again.
 func TestFailedWatchContinuesFromItsRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &firstWatchFails{Store: kvtest.New()}
@@ -116,7 +116,7 @@
 	})
 }
 
-// TestConfirmedKeyIsWatchedLessOften, since many processes follow one key: 184 entries that each watched two keys each 1.5 s made 245 calls a second.
+// TestConfirmedKeyIsWatchedLessOften guards against overloading the store: 184 entries that each watched two keys every 1.5 s made 245 calls a second.
 func TestConfirmedKeyIsWatchedLessOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &firstWatchFails{Store: kvtest.New(), watches: 1}
@@ -124,11 +124,11 @@
 		f := New(store, "key", decodeText, logging.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
-		// watches returns how many watches begin within a time, in which the key is vouched for or not.
-		watches := func(within time.Duration, vouched bool) int {
+		// watches counts the watches that begin within a time in which the key is confirmed or not.
+		watches := func(within time.Duration, confirmed bool) int {
 			before, end := store.watches, time.Now().Add(within)
 			for time.Now().Before(end) {
-				if vouched {
+				if confirmed {
 					f.Confirm()
 				}
 				time.Sleep(confirmationTTL / 2)
@@ -140,22 +140,22 @@
 		put(t, store.Store, "key", "one")
 		synctest.Wait()
 		value, _ := f.Value()
-		assert.Equal(t, value.Decoded, "one", "a change is still seen at once")
+		assert.Equal(t, value.Decoded, "one", "a change is still received at once")
 		watches(timing.ConfirmedWait, false)
-		assert.Assert(t, watches(4*timing.Wait, false) >= 3, "nobody vouches any more")
+		assert.Assert(t, watches(4*timing.Wait, false) >= 3, "the key is no longer confirmed")
 		cancel()
 		<-f.Done()
 	})
 }
 
-// silentAfterCut is a store whose second watch is cut, after which a watch waits without a word for a change that was made meanwhile.
+// silentAfterCut is a store whose second watch is cut; later watches return nothing for a while, even if they missed a change.
 type silentAfterCut struct {
 	*kvtest.Store
 	watches int
 	cutAt   time.Time
 }
 
-// silence is how long watches wait without a word.
+// silence is how long watches return nothing after the cut.
 const silence = time.Second
 
 // Watch implements kv.Store.
@@ -172,9 +172,9 @@
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// TestFollowerRetriesSoonAfterCutWatch plays what a caller saw on a hunted day: a request was handled by the configuration of before, after another had
-// been handled by the newer one. The leader's watch had been cut and then waited for a second and a half without a word, and the entry that did not
-// reach the store learned of the configuration by the leader.
+// TestFollowerRetriesSoonAfterCutWatch guards against a stale configuration after a cut watch: a request was handled with the previous configuration
+// after another one had been handled with the newer one. The leader's next watch had returned nothing for 1.5 s, and the entry that could not reach the
+// store received the configuration from the leader.
 func TestFollowerRetriesSoonAfterCutWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &silentAfterCut{Store: kvtest.New()}
--- a/internal/follow/prefix.go
+++ b/internal/follow/prefix.go
@@ -12,28 +12,28 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// minRetryDelay bounds the pause after a call that failed; the bound after each further one is twice as long, up to Timing.Retry.
+// minRetryDelay bounds the delay after the first failed call; the bound doubles with each further failure up to Timing.MaxRetryDelay.
 const minRetryDelay = 100 * time.Millisecond
 
-// Timing is how a prefix is followed.
+// Timing holds the timeouts and delays by which a prefix is followed.
 type Timing struct {
-	// Wait is how long a watch waits: one that hears nothing more is noticed after it.
+	// Wait is how long a watch waits for a change; it bounds the time until a dead watch is detected.
 	Wait time.Duration
-	// ConfirmedWait is the same while the keys are known by another way as well, 0 for Wait.
+	// ConfirmedWait replaces Wait while the keys are confirmed by another process as well, 0 for Wait.
 	ConfirmedWait time.Duration
-	// MaxRetryDelay is the longest pause after a call that failed. Pauses are drawn, since many processes may follow one prefix.
+	// MaxRetryDelay is the longest delay after a failed call. Delays are random, since many processes may follow one prefix.
 	MaxRetryDelay time.Duration
 }
 
-// Change is what one call told of the keys under a prefix.
+// Change is the result of one call for the keys under a prefix.
 type Change struct {
 	Events []kv.Event
-	// Snapshot says that Events are all keys there are, and not what changed.
+	// Snapshot reports whether Events holds all current keys rather than changes.
 	Snapshot bool
-	// Revision is the revision up to which this holds, Asked when the call was made.
+	// Revision is the revision up to which the result is complete, RequestedAt when the call was made.
 	Revision    kv.Revision
 	RequestedAt time.Time
-	// RequestInstant is when the call was made by the clock of the prefix, zero where it has none.
+	// RequestInstant is when the call was made by the clock of the follower, zero without a clock.
 	RequestInstant boottime.Instant
 }
 
@@ -45,26 +45,26 @@
 	handle func(Change) error
 	logger logging.Logger
 	clock  boottime.Clock
-	// failedAt is when a call failedAt last.
+	// failedAt is the time of the last failed call.
 	failedAt time.Time
-	// confirmed reports whether the keys are known by another way as well, nil where there is none.
+	// confirmed reports whether the keys are confirmed by another process as well; it may be nil.
 	confirmed func() bool
 }
 
-// NewPrefixFollower returns what hands all changes under a prefix to take; what take fails for is read again.
-func NewPrefixFollower(store kv.Store, prefix string, timing Timing, take func(Change) error, logger logging.Logger) *PrefixFollower {
-	return &PrefixFollower{store: store, prefix: prefix, timing: timing, handle: take, logger: logger}
+// NewPrefixFollower returns a follower that passes all changes under a prefix to handle, and reads again after an error of handle.
+func NewPrefixFollower(store kv.Store, prefix string, timing Timing, handle func(Change) error, logger logging.Logger) *PrefixFollower {
+	return &PrefixFollower{store: store, prefix: prefix, timing: timing, handle: handle, logger: logger}
 }
 
-// WithClock sets the clock by which changes tell when they were asked for, and returns the prefix.
+// WithClock sets the clock for Change.RequestInstant, and returns the follower.
 func (p *PrefixFollower) WithClock(clock boottime.Clock) *PrefixFollower {
 	p.clock = clock
 	return p
 }
 
-// WithConfirmed sets what tells whether the keys are known by another way as well, and returns the prefix.
-func (p *PrefixFollower) WithConfirmed(vouched func() bool) *PrefixFollower {
-	p.confirmed = vouched
+// WithConfirmed sets the function that reports whether the keys are confirmed by another process, and returns the follower.
+func (p *PrefixFollower) WithConfirmed(confirmed func() bool) *PrefixFollower {
+	p.confirmed = confirmed
 	return p
 }
 
@@ -80,20 +80,20 @@
 }
 
 const (
-	// shortWaitPeriod is how long after a watch failed the next ones wait for unsettledWait at most: a store that has cut watches may let further ones wait
-	// without a word for what they missed.
+	// shortWaitPeriod is how long after a failed call watches wait for shortWait at most: a store that has cut watches may not return the changes that
+	// the next watches missed until they time out.
 	shortWaitPeriod = 2 * time.Second
 	shortWait       = 300 * time.Millisecond
 )
 
-// Run follows the prefix after a revision until ctx ends; revision 0 stands for none that is known.
+// Run follows the prefix after a revision until ctx ends; revision 0 reads all keys first.
 func (p *PrefixFollower) Run(ctx context.Context, after kv.Revision) {
-	pause := wait.NewBackoff(min(minRetryDelay, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
+	backoff := wait.NewBackoff(min(minRetryDelay, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
 	for ctx.Err() == nil {
 		next, err := p.Next(ctx, after)
 		if err == nil {
 			after = next
-			pause.Reset()
+			backoff.Reset()
 			continue
 		}
 		if ctx.Err() != nil {
@@ -106,11 +106,11 @@
 		if fault.Is(err, fault.Stale) {
 			after = 0
 		}
-		wait.For(ctx, pause.Next())
+		wait.For(ctx, backoff.Next())
 	}
 }
 
-// Next reads all keys where no revision is known, else waits for the next change, and returns the revision to go on from.
+// Next reads all keys if after is 0 and waits for the next change otherwise, and returns the revision to continue from.
 func (p *PrefixFollower) Next(ctx context.Context, after kv.Revision) (kv.Revision, error) {
 	change := Change{Snapshot: after == 0, RequestedAt: time.Now()}
 	if p.clock != nil {
@@ -123,8 +123,8 @@
 		change.Events, change.Revision, err = p.store.Watch(ctx, p.prefix, after, p.watchTimeout())
 	}
 	if err == nil && change.Revision == 0 {
-		// A watch cannot go on from there.
-		err = fault.New(fault.Unavailable, "the store named no revision")
+		// A watch cannot continue from revision 0.
+		err = fault.New(fault.Unavailable, "the store returned no revision")
 	}
 	if err != nil {
 		return 0, err
--- a/internal/timeline/doc.go
+++ b/internal/timeline/doc.go
@@ -1,3 +1,3 @@
-// Package timeline records the events of a process and orders those of all
-// processes by a hybrid logical clock.
+// Package timeline records the events of a process, and orders the events of
+// all processes by a hybrid logical clock.
 package timeline
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -2,7 +2,7 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind is what happened.
+// Kind is the kind of an event.
 type Kind int
 
 // The kinds of events.
@@ -37,7 +37,7 @@
 	kindCount
 )
 
-// Event is one thing that happened in one process.
+// Event is an event of one process, with its stamp, its subject and a text.
 type Event struct {
 	stamp   Stamp
 	process string
@@ -53,23 +53,23 @@
 	return Event{stamp, process, kind, task, worker, request, text}
 }
 
-// Stamp returns when it happened.
+// Stamp returns the time of the event.
 func (e Event) Stamp() Stamp { return e.stamp }
 
-// Process returns the identifier of the process.
+// Process returns the identifier of the process that recorded the event.
 func (e Event) Process() string { return e.process }
 
-// Kind returns what happened.
+// Kind returns the kind of the event.
 func (e Event) Kind() Kind { return e.kind }
 
-// Task returns the task that it happened to, if any.
+// Task returns the task that the event is about, empty for none.
 func (e Event) Task() string { return e.task }
 
-// Worker returns the worker that it happened on, if any.
+// Worker returns the worker that the event is about, empty for none.
 func (e Event) Worker() string { return e.worker }
 
-// Request returns the request that it happened to, if any.
+// Request returns the request that the event is about, empty for none.
 func (e Event) Request() string { return e.request }
 
-// Text returns a short sentence for people.
+// Text returns a description of the event for operators.
 func (e Event) Text() string { return e.text }
--- a/internal/timeline/recorder.go
+++ b/internal/timeline/recorder.go
@@ -16,19 +16,19 @@
 	next   int
 }
 
-// NewRecorder returns a recorder for a process that keeps the given number of events.
+// NewRecorder returns a recorder for a process that keeps the latest events, up to capacity.
 func NewRecorder(clock *Clock, process string, capacity int) *Recorder {
 	return &Recorder{clock: clock, process: process, events: make([]Event, 0, capacity)}
 }
 
-// Subject names what an event happened to; each part may be empty.
+// Subject identifies the task, worker and request that an event is about; each may be empty.
 type Subject struct {
 	Task    string
 	Worker  string
 	Request string
 }
 
-// Record keeps an event, in place of the oldest if there is no room.
+// Record adds an event, and replaces the oldest one if the recorder is full.
 func (r *Recorder) Record(kind Kind, subject Subject, text string) {
 	event := NewEvent(r.clock.Now(), r.process, kind, subject.Task, subject.Worker, subject.Request, text)
 	r.mu.Lock()
@@ -55,7 +55,7 @@
 	return found
 }
 
-// Sort orders events by their stamps, those of one stamp by process.
+// Sort sorts events by stamp, then by process.
 func Sort(events []Event) {
 	slices.SortFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.stamp, b.stamp), cmp.Compare(a.process, b.process))
--- a/internal/timeline/wire.go
+++ b/internal/timeline/wire.go
@@ -1,6 +1,6 @@
 package timeline
 
-// WireEvent is an event as it travels between processes and to programs.
+// WireEvent is the wire format of an event, between processes and for programs.
 type WireEvent struct {
 	Stamp   uint64 `json:"stamp"`
 	Millis  int64  `json:"unix_ms"`
@@ -12,7 +12,7 @@
 	Text    string `json:"text,omitempty"`
 }
 
-// Encode returns the events as they travel.
+// Encode returns the wire format of events.
 func Encode(events []Event) []WireEvent {
 	wires := make([]WireEvent, 0, len(events))
 	for _, e := range events {
@@ -24,7 +24,7 @@
 	return wires
 }
 
-// Decode returns the events that travelled; a kind that is not on the list becomes ProcessStarted.
+// Decode returns the events of the wire format; an unknown kind becomes ProcessStarted.
 func Decode(wires []WireEvent) []Event {
 	events := make([]Event, 0, len(wires))
 	for _, w := range wires {
