--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSmallestVMAcceptsAllProcesses: an entry of the smallest kind that leads takes a connection of each of 1,600 agents and 368 entries.
+// TestSmallestVMAcceptsAllProcesses checks that a leader on the smallest VM accepts a connection of each of 1,600 agents and 368 entries.
 func TestSmallestVMAcceptsAllProcesses(t *testing.T) {
 	const processes = 1600 + 368
 	smallest := connectionLimits(4100, 184<<20)
@@ -17,9 +17,9 @@
 func TestLimitsNeverExceedTheDescriptors(t *testing.T) {
 	for _, descriptors := range []int{minDescriptors, 4100, 8192, 16384} {
 		for _, megabytes := range []int64{minMemoryMB, 184, 1048} {
-			s := connectionLimits(descriptors, megabytes<<20)
-			assert.Assert(t, s.peers > 0 && s.callers > 0)
-			assert.Assert(t, s.peers+s.callers+reservedDescriptors <= descriptors, "%+v of %d", s, descriptors)
+			got := connectionLimits(descriptors, megabytes<<20)
+			assert.Assert(t, got.peers > 0 && got.callers > 0)
+			assert.Assert(t, got.peers+got.callers+reservedDescriptors <= descriptors, "%+v of %d", got, descriptors)
 		}
 	}
 	assert.Equal(t, connectionLimits(0, 184<<20).callers, maxCallers)
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,2 +1,2 @@
-// Package node runs one process on the platform: an entry, which may lead, or the agent beside a worker.
+// Package node runs one process on the platform: an entry, which may become the leader, or the agent beside a worker.
 package node
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -22,11 +22,11 @@
 	"github.com/saffronpulley/saffronpulley/platform"
 )
 
-// drainShare is the part of the grace for which a stopping entry still serves callers. The platform sends new connections
-// elsewhere within two seconds and requests take up to three; closing what is left takes at most two more seconds.
+// drainShare is the share of the grace period in which a stopping entry continues to serve callers. The platform routes new
+// connections to other entries within two seconds and requests take up to three; closing the rest takes at most two more.
 const drainShare = 0.6
 
-// entry is the process that serves callers and may lead.
+// entry is a process that serves callers and may become the leader.
 type entry struct {
 	*process
 	server     *intake.Server
@@ -35,7 +35,7 @@
 	dispatcher *dispatch.Dispatcher
 	pinger     *intake.Pinger
 	stopping   atomic.Bool
-	// refusalLog bounds the log lines about refused connections.
+	// refusalLog limits the log lines about refused connections.
 	refusalLog rate.Sometimes
 }
 
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// listen opens all that others reach.
+// listen starts the listeners for other processes, callers, readiness checks, reports and metrics.
 func (e *entry) listen() ([]*admin.Server, error) {
 	peers, err := admin.Listen(e.settings.ListenPeers(), "listen.peers")
 	if err != nil {
@@ -107,10 +107,10 @@
 	return servers, nil
 }
 
-// refusalLogInterval is how often refused connections of other processes are logged at most; all are counted.
+// refusalLogInterval is the minimum interval between log lines about refused connections of other processes; all are counted.
 const refusalLogInterval = 2 * time.Second
 
-// refusedPeer counts and logs a connection of another process that was refused since all are taken.
+// refusedPeer counts and logs a connection of another process that was refused because the limit is reached.
 func (e *entry) refusedPeer() {
 	refused := e.metrics.Counter("peers.refused")
 	refused.Inc(1)
@@ -119,18 +119,19 @@
 	})
 }
 
-// ready reports whether new connections should come here.
+// ready reports whether the entry accepts new connections.
 func (e *entry) ready() bool { return e.policies.Newest() != nil && !e.stopping.Load() }
 
-// run runs the parts until the signal; then the lead is given up at once, and callers are served for a while longer.
+// run runs the components until ctx ends; then it gives up leadership at once, and serves callers for drainShare of the
+// grace period.
 //
-// It does not wait for the parts that only read: their calls may take longer than the platform grants.
+// It does not wait for the components that only read: their calls may take longer than the grace period.
 func (e *entry) run(ctx context.Context) {
-	lasting, end := context.WithCancel(context.Background())
-	defer end()
-	go e.policies.Run(lasting)
-	go e.leader.Run(lasting)
-	go e.pinger.Run(lasting)
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go e.policies.Run(background)
+	go e.leader.Run(background)
+	go e.pinger.Run(background)
 	go e.dispatcher.Run(ctx)
 	<-ctx.Done()
 	e.stopping.Store(true)
@@ -139,7 +140,7 @@
 	time.Sleep(wait)
 }
 
-// callers serves callers; while the process stops they are asked to connect anew, to another entry.
+// callers serves callers; while the process stops, it closes their connections so that they connect to another entry.
 func (e *entry) callers() fasthttp.RequestHandler {
 	handle := platform.HandleCallers(e.server)
 	return func(ctx *fasthttp.RequestCtx) {
@@ -150,7 +151,7 @@
 	}
 }
 
-// noReports refuses workers' reports, which belong to the agent beside the worker.
+// noReports rejects the reports of workers, which are for the agent beside the worker.
 type noReports struct{}
 
 // Reported implements platform.Reports.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	// secret keeps strangers' connections apart; the platform gives the processes none of their own, and its network none
-	// but its machines.
+	// secret rejects connections of other programs. It is fixed since the platform issues no secret to the processes, and its
+	// network connects only its own VMs.
 	secret = "saffronpulley-processes"
-	// memoryShare is the part of the VM's memory that the collector keeps to.
+	// memoryShare is the share of the configured memory that is set as the memory limit of the runtime.
 	memoryShare = 0.6
-	// gcPercent lets the heap of the small processes grow before it is collected, which costs processor time.
+	// gcPercent lets small heaps grow more than the default of 100 before a collection, which costs processor time.
 	gcPercent = 300
-	// bodyLimit is above what the operators' limits allow; a job over the latter is refused with a sentence.
+	// bodyLimit is above the operators' limits, so that a job over these is rejected with an error message.
 	bodyLimit   = 4 << 20
 	readTimeout = 30 * time.Second
 	idleTimeout = 2 * time.Minute
-	// maxLocalConnections bounds the connections of those who share the VM or look after it: the worker, the platform's checks, operators.
+	// maxLocalConnections bounds the connections to one listener of the worker, the platform's health checks and operators.
 	maxLocalConnections = 128
 )
 
-// process is what both roles share.
+// process holds the state that both roles share.
 type process struct {
 	settings *Settings
 	boot     string
@@ -50,7 +50,7 @@
 	pool     *relay.Pool
 }
 
-// Run runs the role that the settings name until SIGTERM or SIGINT; SIGHUP reads the settings again.
+// Run runs the configured role until SIGTERM or SIGINT; SIGHUP reloads the settings.
 func Run(path string) error {
 	settings, err := Load(path)
 	if err != nil {
@@ -84,28 +84,28 @@
 	return err
 }
 
-// reload reads the settings again at SIGHUP; what has changed beside the log level takes effect at the next start.
+// reload reloads the settings at SIGHUP and adds the known entries; other changes take effect at the next start.
 func (p *process) reload(ctx context.Context, path string) {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGHUP)
-	defer signal.Stop(asked)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-hangup:
 		}
-		fresh, err := Load(path)
+		reloaded, err := Load(path)
 		if err != nil {
-			p.logger.Error("process: the changed settings are not taken: %v", err)
+			p.logger.Error("process: cannot load the changed settings: %v", err)
 			continue
 		}
-		p.pool.Add(fresh.KnownEntries())
-		p.logger.Info("process: settings read again; changed=%t", fresh.file != p.settings.file)
+		p.pool.Add(reloaded.KnownEntries())
+		p.logger.Info("process: settings reloaded; changed=%t", reloaded.file != p.settings.file)
 	}
 }
 
-// serve serves requests of at most so many connections.
+// serve serves requests on an address, with a maximum number of connections.
 func serve(address, setting string, connections int, handler fasthttp.RequestHandler) (*admin.Server, error) {
 	listener, err := admin.Listen(address, setting)
 	if err != nil {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -33,11 +33,11 @@
 	assert.DeepEqual(t, s.KnownEntries(), []string{"10.1.0.13:7720", "10.2.0.30:7720"})
 	assert.Equal(t, s.Grace(), 6*time.Second)
 	assert.Equal(t, s.ListenPeers(), s.PeerAddress())
-	assert.Equal(t, s.ClosureDelay(), 5*time.Second, "where the platform tells none")
-	for text, within := range map[string]time.Duration{"closed_ms:": 5 * time.Second, "closed_ms: 4000": 4 * time.Second} {
+	assert.Equal(t, s.ClosureDelay(), 5*time.Second, "the platform does not specify it")
+	for text, delay := range map[string]time.Duration{"closed_ms:": 5 * time.Second, "closed_ms: 4000": 4 * time.Second} {
 		s, err = Parse([]byte(validSettings + text + "\n"))
 		assert.NilError(t, err)
-		assert.Equal(t, s.ClosureDelay(), within)
+		assert.Equal(t, s.ClosureDelay(), delay)
 	}
 	s, err = Parse([]byte(strings.Replace(validSettings, "listen: {", "listen: { peers: \"10.1.0.14:7730\",", 1)))
 	assert.NilError(t, err)
@@ -46,7 +46,7 @@
 }
 
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	for change, sentence := range map[string]string{
+	for change, message := range map[string]string{
 		"id: side-1>id: ''":                             "id is missing",
 		"role: agent>role: cook":                        "role is \"cook\"",
 		"strength: 0.24>strength: 0":                    "strength is 0",
@@ -60,14 +60,14 @@
 		"listen: {>listen: { peers: there,":             "listen.peers is \"there\"",
 		"grace_s: 6>grace_s: 6\nclosed_ms: -1":          "closed_ms is -1",
 		"grace_s: 6>grace_s: 6\nlongest_hold_ms: -1":    "longest_hold_ms is -1",
-		"log: info>log: info\nfuture: 1":                "not in their form",
-		"strength: 0.24>strength: much":                 "not in their form",
+		"log: info>log: info\nfuture: 1":                "cannot be parsed",
+		"strength: 0.24>strength: much":                 "cannot be parsed",
 		"reports: \"10.1.0.14:8166\">reports: \"8166\"": "listen.reports is \"8166\"",
 	} {
 		from, to, _ := strings.Cut(change, ">")
 		assert.Assert(t, strings.Contains(validSettings, from), from)
 		_, err := Parse([]byte(strings.Replace(validSettings, from, to, 1)))
-		assert.ErrorContains(t, err, sentence)
+		assert.ErrorContains(t, err, message)
 		assert.Assert(t, fault.Is(err, fault.BadInput))
 	}
 	_, err := Load("")
