--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,4 +1,4 @@
-// Package idempotency joins requests with the same caller's key, so that one
-// that may not be repeated runs at most once. Keys are divided into slots, and
-// each slot has one owner among the entries at a time.
+// Package idempotency deduplicates requests by the caller's key, so that a
+// request that must not be repeated runs at most once. Keys are divided into
+// slots, each of which is owned by one entry at a time.
 package idempotency
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -74,18 +74,18 @@
 	assert.Equal(t, fault.KindOf(err), fault.OutcomeUnknown)
 }
 
-// TestKeysRunOnce plays double clicks through entries whose slots are handed over, buried and taken, with agents that
-// remember what they let in; no key may run twice.
+// TestKeysRunOnce checks that no key runs twice: it repeats requests through entries that join, fail and hand over a slot, with
+// an agent that records the keys that it has admitted.
 func TestKeysRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newKeyModel(t)
+		m := newKeyModel(t)
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			w.step()
+			m.step()
 		}
 	})
 }
 
-// keyModel is entries that own one slot in turn, and an agent that remembers.
+// keyModel holds entries that own one slot in turn, and the keys that an agent has admitted.
 type keyModel struct {
 	t           *rapid.T
 	owners      Owners
@@ -99,87 +99,87 @@
 }
 
 func newKeyModel(t *rapid.T) *keyModel {
-	w := &keyModel{t: t, keys: make(map[string]*Keys), alive: make(map[string]bool), runCount: make(map[string]int), now: start}
-	w.join()
-	w.join()
-	return w
+	m := &keyModel{t: t, keys: make(map[string]*Keys), alive: make(map[string]bool), runCount: make(map[string]int), now: start}
+	m.join()
+	m.join()
+	return m
 }
 
-func (w *keyModel) join() {
-	w.entryCount++
-	name := fmt.Sprint("entry-", w.entryCount)
-	w.owners = w.owners.Join(name, "x")
-	w.keys[name], w.alive[name] = NewKeys(), true
-	w.takeOver()
+func (m *keyModel) join() {
+	m.entryCount++
+	name := fmt.Sprint("entry-", m.entryCount)
+	m.owners = m.owners.Join(name, "x")
+	m.keys[name], m.alive[name] = NewKeys(), true
+	m.takeOver()
 }
 
-// takeOver has the owner of the slot begin to own it, after it asked the agent if the last owner died.
-func (w *keyModel) takeOver() {
-	owner := w.owners.Owner(0)
+// takeOver lets the owner of the slot accept keys; if the previous owner failed, it first queries the agent for admitted keys.
+func (m *keyModel) takeOver() {
+	owner := m.owners.Owner(0)
 	var ran []string
 	if owner.PreviousFailed() {
-		w.sealedEpoch = max(w.sealedEpoch, owner.Epoch())
-		ran = append(ran, w.admitted...)
+		m.sealedEpoch = max(m.sealedEpoch, owner.Epoch())
+		ran = append(ran, m.admitted...)
 	}
-	w.keys[owner.Entry()].Own(0, owner.Epoch(), ran, time.Time{}, w.now)
+	m.keys[owner.Entry()].Own(0, owner.Epoch(), ran, time.Time{}, m.now)
 }
 
-func (w *keyModel) step() {
-	w.now = w.now.Add(time.Second)
-	entry := rapid.SampledFrom(w.owners.Members()).Draw(w.t, "entry")
-	switch rapid.IntRange(0, 6).Draw(w.t, "action") {
+func (m *keyModel) step() {
+	m.now = m.now.Add(time.Second)
+	entry := rapid.SampledFrom(m.owners.Members()).Draw(m.t, "entry")
+	switch rapid.IntRange(0, 6).Draw(m.t, "action") {
 	case 0, 1, 2, 3:
-		// Any entry that ever owned the slot may still believe that it does.
-		for name := range w.keys {
-			if name == entry || rapid.Bool().Draw(w.t, "click") {
-				w.request(name, fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(w.t, "key")))
+		// Each entry that has owned the slot may still act as its owner.
+		for name := range m.keys {
+			if name == entry || rapid.Bool().Draw(m.t, "click") {
+				m.request(name, fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(m.t, "key")))
 			}
 		}
 	case 4:
-		w.transfer(entry)
+		m.transfer(entry)
 	case 5:
-		if len(w.owners.Members()) > 1 {
-			w.alive[entry] = false
-			w.owners = w.owners.RemoveFailed(entry)
-			w.takeOver()
+		if len(m.owners.Members()) > 1 {
+			m.alive[entry] = false
+			m.owners = m.owners.RemoveFailed(entry)
+			m.takeOver()
 		}
 	case 6:
-		if w.entryCount < 6 {
-			w.join()
+		if m.entryCount < 6 {
+			m.join()
 		}
 	}
 }
 
-func (w *keyModel) transfer(to string) {
-	from := w.owners.Owner(0).Entry()
+func (m *keyModel) transfer(to string) {
+	from := m.owners.Owner(0).Entry()
 	if from == to {
 		return
 	}
-	w.keys[from].Close(0)
-	w.keys[to].Import(0, w.keys[from].Export(0), w.now)
-	next, err := w.owners.Transfer(0, from, to)
+	m.keys[from].Close(0)
+	m.keys[to].Import(0, m.keys[from].Export(0), m.now)
+	next, err := m.owners.Transfer(0, from, to)
 	if err != nil {
-		w.t.Fatalf("%v", err)
+		m.t.Fatalf("%v", err)
 	}
-	w.owners = next
-	w.keys[from].Drop(0)
-	w.takeOver()
+	m.owners = next
+	m.keys[from].Drop(0)
+	m.takeOver()
 }
 
-// request asks an entry, dead ones too since they may only be paused, to run a key.
-func (w *keyModel) request(entry, key string) {
-	ticket, err := w.keys[entry].Begin(key, 0, w.now)
+// request sends a key to an entry; failed entries receive requests too, since they may only be paused.
+func (m *keyModel) request(entry, key string) {
+	ticket, err := m.keys[entry].Begin(key, 0, m.now)
 	if err != nil || !ticket.IsFirst() {
 		return
 	}
-	if ticket.Epoch() < w.sealedEpoch {
+	if ticket.Epoch() < m.sealedEpoch {
 		ticket.Finish(nil, fault.New(fault.Stale, "the key's owner has changed"))
 		return
 	}
-	w.admitted = append(w.admitted, key)
-	w.runCount[key]++
-	if w.runCount[key] > 1 {
-		w.t.Fatalf("%s ran %d times", key, w.runCount[key])
+	m.admitted = append(m.admitted, key)
+	m.runCount[key]++
+	if m.runCount[key] > 1 {
+		m.t.Fatalf("%s ran %d times", key, m.runCount[key])
 	}
 	ticket.Finish(NewAnswer(200, "", nil), nil)
 }
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -7,7 +7,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Retention is how long an answer is kept for callers that ask again.
+// Retention is how long an answer is kept for repeated requests.
 const Retention = 10 * time.Minute
 
 const (
@@ -16,14 +16,14 @@
 	maxAnswerBytes    = 6 << 20
 )
 
-// Answer is a whole answer that is handed to each caller that asks with the same key.
+// Answer is a complete answer, which each request with the same key receives.
 type Answer struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-// NewAnswer returns an answer; the body is not to be changed any more.
+// NewAnswer returns an answer; the caller must not modify the body afterwards.
 func NewAnswer(status int, contentType string, body []byte) *Answer {
 	return &Answer{status: status, contentType: contentType, body: body}
 }
@@ -37,7 +37,7 @@
 // Body returns the bytes of the body.
 func (a *Answer) Body() []byte { return a.body }
 
-// call is a key in use.
+// call is the running or finished request of a key.
 type call struct {
 	slot      int
 	done      chan struct{}
@@ -46,7 +46,7 @@
 	startedAt time.Time
 }
 
-// Keys is what an owner remembers of its slots; it is safe for use by several goroutines.
+// Keys holds the requests of the slots that a process owns; it is safe for concurrent use.
 type Keys struct {
 	mu    sync.Mutex
 	calls map[string]*call
@@ -62,12 +62,12 @@
 	running      int
 }
 
-// NewKeys returns an owner of no slots.
+// NewKeys returns Keys without slots.
 func NewKeys() *Keys {
 	return &Keys{calls: make(map[string]*call), slots: make(map[int]*slotState)}
 }
 
-// Ticket is the right and the duty to run the request of a key, or to wait for another that runs it.
+// Ticket is a claim on a key: the first holder must run the request, the others wait for its result.
 type Ticket struct {
 	keys  *Keys
 	key   string
@@ -76,7 +76,8 @@
 	epoch uint64
 }
 
-// Begin looks a key of a slot up at a moment; a slot that is not owned or is in doubt answers with an error.
+// Begin returns a ticket for a key of a slot; it returns an error if the slot is not owned, or if an unknown key may have run
+// under an earlier owner.
 func (k *Keys) Begin(key string, slot int, now time.Time) (*Ticket, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -89,7 +90,7 @@
 		return nil, fault.New(fault.OutcomeUnknown, "the owner of the key is changing")
 	}
 	if now.Before(s.unknownUntil) {
-		return nil, fault.New(fault.OutcomeUnknown, "an owner of the key died, and an agent that may have run it cannot be asked")
+		return nil, fault.New(fault.OutcomeUnknown, "an owner of the key failed, and an agent that may have run the request does not answer")
 	}
 	if len(k.calls) >= maxKeys {
 		return nil, fault.New(fault.Overloaded, "too many keys are in use")
@@ -101,19 +102,19 @@
 	return &Ticket{keys: k, key: key, call: c, first: true, epoch: s.epoch}, nil
 }
 
-// IsFirst reports whether the holder of the ticket is to run the request.
+// IsFirst reports whether the holder of the ticket must run the request.
 func (t *Ticket) IsFirst() bool { return t.first }
 
-// Epoch returns the epoch of the slot, by which agents refuse an owner of the past.
+// Epoch returns the epoch of the slot, by which agents reject an earlier owner.
 func (t *Ticket) Epoch() uint64 { return t.epoch }
 
-// Done returns the channel that is closed when the first holder has ended.
+// Done returns a channel that is closed when the first holder has finished.
 func (t *Ticket) Done() <-chan struct{} { return t.call.done }
 
-// Result returns the answer or the error of the first holder, once it has ended.
+// Result returns the answer or the error of the first holder after it has finished.
 func (t *Ticket) Result() (*Answer, error) { return t.call.answer, t.call.err }
 
-// Finish hands the result to all who wait; after an error that says that nothing ran, the key is free again.
+// Finish passes the result to all holders; an error which means that nothing ran releases the key.
 func (t *Ticket) Finish(answer *Answer, err error) {
 	k := t.keys
 	k.mu.Lock()
@@ -131,7 +132,7 @@
 	close(t.call.done)
 }
 
-// expire drops what is old, and the bodies of answers that take too much room; k.mu is held.
+// expire removes the calls older than Retention, and drops the oldest answers beyond maxAnswerBytes; k.mu is held.
 func (k *Keys) expire(now time.Time) {
 	for len(k.order) > 0 {
 		c, ok := k.calls[k.order[0]]
@@ -151,13 +152,13 @@
 	}
 }
 
-// dropAnswer drops the answer of a call, which from then on is known only to have run; k.mu is held.
+// dropAnswer drops the answer of a call, which stays recorded as run; k.mu is held.
 func (k *Keys) dropAnswer(c *call) {
 	if c.answer == nil {
 		return
 	}
 	k.bytes -= len(c.answer.body)
-	c.answer, c.err = nil, fault.New(fault.OutcomeUnknown, "the request was run, and its answer is no longer kept")
+	c.answer, c.err = nil, fault.New(fault.OutcomeUnknown, "the request ran, and its answer is no longer kept")
 }
 
 func isClosed(done chan struct{}) bool {
--- a/internal/idempotency/owners.go
+++ b/internal/idempotency/owners.go
@@ -19,41 +19,41 @@
 	return int(xxhash.Sum64String(service+"\x00"+key) % SlotCount)
 }
 
-// Owner is who owns a slot, and whether the last owner handed it over or died.
+// Owner is the owner of a slot, with the epoch and whether the previous owner failed.
 type Owner struct {
 	entry          string
 	epoch          uint64
 	previousFailed bool
 }
 
-// Entry returns the entry that owns the slot, empty for none yet.
+// Entry returns the entry that owns the slot, empty if it has not had an owner.
 func (o Owner) Entry() string { return o.entry }
 
-// Epoch returns how often the slot has changed its owner.
+// Epoch returns the epoch of the slot, which counts the changes of its owner.
 func (o Owner) Epoch() uint64 { return o.epoch }
 
-// PreviousFailed reports whether the owner before died without a handover.
+// PreviousFailed reports whether the previous owner failed without a handover.
 func (o Owner) PreviousFailed() bool { return o.previousFailed }
 
-// Owners is the document that says which entry owns each slot.
+// Owners is the stored document of the entries and of the owner of each slot.
 type Owners struct {
 	members map[string]string
 	slots   [SlotCount]Owner
 }
 
-// Address returns the address of an entry's peers' listener.
+// Address returns the address on which an entry listens for other processes.
 func (o Owners) Address(entry string) (string, bool) {
 	address, ok := o.members[entry]
 	return address, ok
 }
 
-// Members returns the entries that take part, in order.
+// Members returns the entries that may own slots, sorted.
 func (o Owners) Members() []string { return slices.Sorted(maps.Keys(o.members)) }
 
 // Owner returns the owner of a slot.
 func (o Owners) Owner(slot int) Owner { return o.slots[slot] }
 
-// Preferred returns which entry is to own a slot, the same for all who ask.
+// Preferred returns the entry that should own a slot, chosen by rendezvous hashing.
 func (o Owners) Preferred(slot int) string {
 	best, highest := "", uint64(0)
 	for _, entry := range o.Members() {
@@ -64,7 +64,7 @@
 	return best
 }
 
-// Join adds an entry; slots that nobody ever owned go to those who are to own them.
+// Join adds an entry; slots without an owner yet go to their preferred entries.
 func (o Owners) Join(entry, address string) Owners {
 	next := o.clone()
 	next.members[entry] = address
@@ -78,31 +78,31 @@
 
 // Transfer moves a slot from its owner to another entry.
 func (o Owners) Transfer(slot int, from, to string) (Owners, error) {
-	held := o.slots[slot]
-	if held.entry != from {
-		return o, fault.New(fault.Conflict, "slot %d is owned by %s", slot, held.entry)
+	owner := o.slots[slot]
+	if owner.entry != from {
+		return o, fault.New(fault.Conflict, "slot %d is owned by %s", slot, owner.entry)
 	}
 	next := o.clone()
-	next.slots[slot] = Owner{entry: to, epoch: held.epoch + 1}
+	next.slots[slot] = Owner{entry: to, epoch: owner.epoch + 1}
 	return next, nil
 }
 
-// Leave removes an entry that has handed over its slots.
+// Leave removes an entry that has transferred its slots.
 func (o Owners) Leave(entry string) Owners {
 	next := o.clone()
 	delete(next.members, entry)
 	return next
 }
 
-// RemoveFailed removes an entry that died; its slots go to others, in doubt.
+// RemoveFailed removes an entry that failed; its slots go to their preferred entries, marked as PreviousFailed.
 func (o Owners) RemoveFailed(entry string) Owners {
 	next := o.clone()
 	delete(next.members, entry)
-	for i, held := range next.slots {
-		if held.entry != entry {
+	for i, owner := range next.slots {
+		if owner.entry != entry {
 			continue
 		}
-		next.slots[i] = Owner{entry: next.Preferred(i), epoch: held.epoch + 1, previousFailed: true}
+		next.slots[i] = Owner{entry: next.Preferred(i), epoch: owner.epoch + 1, previousFailed: true}
 	}
 	return next
 }
@@ -126,7 +126,7 @@
 	PreviousFailed bool
 }
 
-// EncodeOwners returns the bytes of the document as the store keeps them.
+// EncodeOwners returns the stored form of the document.
 func EncodeOwners(o Owners) ([]byte, error) {
 	wire := ownersWire{Members: o.members}
 	for _, s := range o.slots {
@@ -134,19 +134,19 @@
 	}
 	value, err := cbor.Marshal(wire)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "the owners of keys cannot be encoded")
+		return nil, fault.Wrap(err, fault.Internal, "cannot encode the owners of keys")
 	}
 	return value, nil
 }
 
-// DecodeOwners returns the document of a stored value; no bytes are a document without owners.
+// DecodeOwners returns the document of a stored value; an empty value is a document without owners.
 func DecodeOwners(value []byte) (Owners, error) {
 	if len(value) == 0 {
 		return Owners{}, nil
 	}
 	var wire ownersWire
 	if err := cbor.Unmarshal(value, &wire); err != nil {
-		return Owners{}, fault.Wrap(err, fault.Internal, "the stored owners of keys cannot be read")
+		return Owners{}, fault.Wrap(err, fault.Internal, "cannot decode the stored owners of keys")
 	}
 	if len(wire.Slots) != SlotCount {
 		return Owners{}, fault.New(fault.Internal, "the stored owners of keys have %d slots, not %d", len(wire.Slots), SlotCount)
--- a/internal/idempotency/slots.go
+++ b/internal/idempotency/slots.go
@@ -6,26 +6,26 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Own makes the process the owner of a slot under an epoch, with the keys that are known to have run before.
+// Own makes the process the owner of a slot under an epoch, with the keys that are known to have run under earlier owners.
 //
-// Until doubtUntil a key that is not known may have run too, and is answered so.
-func (k *Keys) Own(slot int, epoch uint64, ran []string, doubtUntil, now time.Time) {
+// Until unknownUntil, other keys may have run too, and Begin returns OutcomeUnknown for them.
+func (k *Keys) Own(slot int, epoch uint64, ran []string, unknownUntil, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.slots[slot]
 	if ok && s.epoch >= epoch {
 		return
 	}
-	k.slots[slot] = &slotState{epoch: epoch, ready: true, unknownUntil: doubtUntil}
+	k.slots[slot] = &slotState{epoch: epoch, ready: true, unknownUntil: unknownUntil}
 	for _, key := range ran {
 		if _, known := k.calls[key]; known {
 			continue
 		}
-		k.addFinished(key, &call{slot: slot, startedAt: now, err: fault.New(fault.OutcomeUnknown, "an earlier owner of the key let the request run")})
+		k.addFinished(key, &call{slot: slot, startedAt: now, err: fault.New(fault.OutcomeUnknown, "an earlier owner of the key admitted the request")})
 	}
 }
 
-// addFinished keeps a call that has ended; k.mu is held.
+// addFinished adds a finished call; k.mu is held.
 func (k *Keys) addFinished(key string, c *call) {
 	c.done = make(chan struct{})
 	close(c.done)
@@ -36,7 +36,7 @@
 	}
 }
 
-// Owns reports whether the process serves a slot, and under which epoch.
+// Owns reports whether the process owns a slot and accepts its keys, and returns the epoch.
 func (k *Keys) Owns(slot int) (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -47,7 +47,7 @@
 	return s.epoch, true
 }
 
-// Close stops a slot from taking new keys, and returns how many requests of it still run.
+// Close stops a slot from accepting new keys, and returns the number of its running requests.
 func (k *Keys) Close(slot int) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +59,7 @@
 	return s.running
 }
 
-// Reopen lets a closed slot take keys again, after a handover that failed.
+// Reopen lets a closed slot accept keys again after a failed handover.
 func (k *Keys) Reopen(slot int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// Drop gives a slot up.
+// Drop gives up a slot and removes its finished calls.
 func (k *Keys) Drop(slot int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -81,26 +81,26 @@
 	}
 }
 
-// KeyResult is a key that ran, as it is handed to the next owner; a nil answer is one that is not kept.
+// KeyResult is a key whose request ran, with the answer if it is still kept, for the handover to the next owner.
 type KeyResult struct {
 	key    string
 	answer *Answer
 }
 
-// NewKeyResult returns a key that ran with its answer, nil for one that is not kept.
+// NewKeyResult returns the result of a key; the answer is nil if it is not kept.
 func NewKeyResult(key string, answer *Answer) KeyResult { return KeyResult{key: key, answer: answer} }
 
 // Key returns the caller's key.
 func (k KeyResult) Key() string { return k.key }
 
-// Answer returns the answer, nil for one that is not kept.
+// Answer returns the answer, nil if it is not kept.
 func (k KeyResult) Answer() *Answer { return k.answer }
 
-// Export returns the keys of a closed slot that ran; small answers go along.
+// Export returns the keys of a closed slot, with answers of at most maxExportedAnswer bytes.
 func (k *Keys) Export(slot int) []KeyResult {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var kept []KeyResult
+	var results []KeyResult
 	for key, c := range k.calls {
 		if c.slot != slot {
 			continue
@@ -109,23 +109,23 @@
 		if answer != nil && len(answer.body) > maxExportedAnswer {
 			answer = nil
 		}
-		kept = append(kept, NewKeyResult(key, answer))
+		results = append(results, NewKeyResult(key, answer))
 	}
-	return kept
+	return results
 }
 
-// Import keeps what an earlier owner of a slot handed over, before the slot is owned.
-func (k *Keys) Import(slot int, handed []KeyResult, now time.Time) {
+// Import adds the results that an earlier owner of a slot has handed over, before the process owns the slot.
+func (k *Keys) Import(slot int, results []KeyResult, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, h := range handed {
-		if _, known := k.calls[h.key]; known {
+	for _, r := range results {
+		if _, known := k.calls[r.key]; known {
 			continue
 		}
-		c := &call{slot: slot, startedAt: now, answer: h.answer}
-		if h.answer == nil {
-			c.err = fault.New(fault.OutcomeUnknown, "an earlier owner of the key let the request run")
+		c := &call{slot: slot, startedAt: now, answer: r.answer}
+		if r.answer == nil {
+			c.err = fault.New(fault.OutcomeUnknown, "an earlier owner of the key admitted the request")
 		}
-		k.addFinished(h.key, c)
+		k.addFinished(r.key, c)
 	}
 }
