--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -6,24 +6,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a time since the VM began to run, suspensions included; the zero value stands for never.
+// Instant is the time since the VM booted, including suspensions; the zero value means never.
 type Instant time.Duration
 
-// Add returns the instant some time later.
+// Add returns the instant at a duration after this one.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns how much later the instant is than another.
+// Sub returns the duration from another instant to this one.
 func (i Instant) Sub(o Instant) time.Duration { return time.Duration(i - o) }
 
 // After reports whether the instant is later than another.
 func (i Instant) After(o Instant) bool { return i > o }
 
-// IsZero reports whether the instant stands for never.
+// IsZero reports whether the instant means never.
 func (i Instant) IsZero() bool { return i == 0 }
 
-// Clock tells what instant it is.
+// Clock is a source of instants.
 type Clock interface {
-	// Now returns the present instant.
+	// Now returns the current instant.
 	Now() Instant
 }
 
@@ -32,11 +32,11 @@
 
 var _ Clock = System{}
 
-// Now implements Clock. The kernel has had this clock for longer than any that the program runs on.
+// Now implements Clock. It panics if the kernel lacks CLOCK_BOOTTIME, which no supported kernel does.
 func (System) Now() Instant {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic("the clock that counts suspensions cannot be read: " + err.Error())
+		panic("cannot read the boot time clock: " + err.Error())
 	}
 	return Instant(now.Nano())
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -17,7 +17,7 @@
 	assert.Equal(t, first.Add(later.Sub(first)), later)
 }
 
-// BenchmarkNow: 274 ns on a developer's machine, a call to the kernel; an agent asks some ten times a second.
+// BenchmarkNow measures the system call; an agent makes about ten a second, at 274 ns each on a developer's machine.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		System{}.Now()
--- a/internal/boottime/doc.go
+++ b/internal/boottime/doc.go
@@ -1,5 +1,5 @@
-// Package boottime is the clock by which time runs on while a VM is suspended.
+// Package boottime provides a clock that continues while a VM is suspended.
 //
-// The steady clock of the language stands still then: whoever wakes would believe that a permission, or what was confirmed, is as
-// fresh as before. Bounds on which safety rests are points on this clock; durations for patience and pace may stay on the other.
+// Go's monotonic clock stops during a suspension, so a resumed process would take an expired lease or confirmation as still valid.
+// Deadlines that safety depends on use this clock; timeouts and intervals may use the monotonic one.
 package boottime
--- a/internal/boottimetest/doc.go
+++ b/internal/boottimetest/doc.go
@@ -1,2 +1,2 @@
-// Package boottimetest is a clock for tests of what happens when a VM was suspended.
+// Package boottimetest provides a clock for tests of suspended VMs.
 package boottimetest
