--- a/internal/agent/measure.go
+++ b/internal/agent/measure.go
@@ -17,6 +17,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
+// minSamples is the number of requests below which a latency measurement is ignored.
 const minSamples = 5
 
 // measureLoop measures latency and usage, and throttles batch tasks when the latency of a service approaches its target.
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -32,7 +32,7 @@
 
 var _ Clock = System{}
 
-// Now implements Clock. It panics if the kernel lacks CLOCK_BOOTTIME, which no supported kernel does.
+// Now implements Clock. It panics if CLOCK_BOOTTIME is missing; every kernel that the program runs on has it.
 func (System) Now() Instant {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/internal/boottimetest/boottimetest.go
+++ b/internal/boottimetest/boottimetest.go
@@ -7,7 +7,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/boottime"
 )
 
-// Clock follows the monotonic clock, which may be a fake one, and adds simulated suspensions.
+// Clock follows time.Now, which may be a fake clock, and adds simulated suspensions.
 type Clock struct{ suspended atomic.Int64 }
 
 var _ boottime.Clock = (*Clock)(nil)
@@ -17,5 +17,5 @@
 	return boottime.Instant(time.Now().UnixNano() + c.suspended.Load())
 }
 
-// Suspend simulates a suspension of the VM, which the monotonic clock does not count.
+// Suspend simulates a suspension of the VM, which time.Now does not count.
 func (c *Clock) Suspend(d time.Duration) { c.suspended.Add(int64(d)) }
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -21,7 +21,7 @@
 // MethodSummary is the method that an entry serves to the leaders that it has subscribed to.
 const MethodSummary = "entry.summary"
 
-// Position orders the messages of leaders to an agent: by epoch, then by revision.
+// Position orders the messages of leaders to an agent by epoch, then by revision; later positions supersede earlier ones.
 type Position struct {
 	Epoch    uint64 `json:"e"`
 	Revision uint64 `json:"r"`
--- a/internal/follow/prefix.go
+++ b/internal/follow/prefix.go
@@ -17,7 +17,7 @@
 
 // Timing holds the timeouts and delays by which a prefix is followed.
 type Timing struct {
-	// Wait is how long a watch waits for a change; it bounds the time until a dead watch is detected.
+	// Wait is how long a watch waits for a change; it bounds the time until an unresponsive watch is detected.
 	Wait time.Duration
 	// ConfirmedWait replaces Wait while the keys are confirmed by another process as well, 0 for Wait.
 	ConfirmedWait time.Duration
@@ -80,8 +80,8 @@
 }
 
 const (
-	// shortWaitPeriod is how long after a failed call watches wait for shortWait at most: a store that has cut watches may not return the changes that
-	// the next watches missed until they time out.
+	// shortWaitPeriod is how long after a failed call watches wait for shortWait at most: a store that has cut watches may leave the next ones waiting,
+	// although they have missed a change.
 	shortWaitPeriod = 2 * time.Second
 	shortWait       = 300 * time.Millisecond
 )
--- a/internal/idempotency/owners.go
+++ b/internal/idempotency/owners.go
@@ -53,7 +53,7 @@
 // Owner returns the owner of a slot.
 func (o Owners) Owner(slot int) Owner { return o.slots[slot] }
 
-// Preferred returns the entry that should own a slot, chosen by rendezvous hashing.
+// Preferred returns the entry that should own a slot; all processes choose the same one by rendezvous hashing.
 func (o Owners) Preferred(slot int) string {
 	best, highest := "", uint64(0)
 	for _, entry := range o.Members() {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -122,8 +122,8 @@
 // ready reports whether the entry accepts new connections.
 func (e *entry) ready() bool { return e.policies.Newest() != nil && !e.stopping.Load() }
 
-// run runs the components until ctx ends; then it gives up leadership at once, and serves callers for drainShare of the
-// grace period.
+// run runs the components until ctx ends; then the entry steps down at once if it leads, and serves callers for drainShare
+// of the grace period.
 //
 // It does not wait for the components that only read: their calls may take longer than the grace period.
 func (e *entry) run(ctx context.Context) {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -197,7 +197,7 @@
 // Callers returns the address on which an entry listens for callers.
 func (s *Settings) Callers() string { return s.file.Listen.Callers }
 
-// Ready returns the address of the platform's readiness check of an entry.
+// Ready returns the address on which an entry serves the platform's readiness check.
 func (s *Settings) Ready() string { return s.file.Listen.Ready }
 
 // Reports returns the address on which a process listens for workers.
