--- a/internal/follow/prefix.go
+++ b/internal/follow/prefix.go
@@ -12,28 +12,28 @@
 	"github.com/saffronpulley/saffronpulley/internal/wait"
 )
 
-// retryFirst bounds the pause after a call that failed; the bound after each further one is twice as long, up to Timing.Retry.
-const retryFirst = 100 * time.Millisecond
+// minRetryDelay bounds the delay after the first failed call; the bound doubles with each further failure up to Timing.MaxRetryDelay.
+const minRetryDelay = 100 * time.Millisecond
 
-// Timing is how a prefix is followed.
+// Timing holds the timeouts and delays by which a prefix is followed.
 type Timing struct {
-	// Wait is how long a watch waits: one that hears nothing more is noticed after it.
+	// Wait is how long a watch waits for a change; it bounds the time until an unresponsive watch is detected.
 	Wait time.Duration
-	// ConfirmedWait is the same while the keys are known by another way as well, 0 for Wait.
+	// ConfirmedWait replaces Wait while the keys are confirmed by another process as well, 0 for Wait.
 	ConfirmedWait time.Duration
-	// MaxRetryDelay is the longest pause after a call that failed. Pauses are drawn, since many processes may follow one prefix.
+	// MaxRetryDelay is the longest delay after a failed call. Delays are random, since many processes may follow one prefix.
 	MaxRetryDelay time.Duration
 }
 
-// Change is what one call told of the keys under a prefix.
+// Change is the result of one call for the keys under a prefix.
 type Change struct {
 	Events []kv.Event
-	// Snapshot says that Events are all keys there are, and not what changed.
+	// Snapshot reports whether Events holds all current keys rather than changes.
 	Snapshot bool
-	// Revision is the revision up to which this holds, Asked when the call was made.
+	// Revision is the revision up to which the result is complete, RequestedAt when the call was made.
 	Revision    kv.Revision
 	RequestedAt time.Time
-	// RequestInstant is when the call was made by the clock of the prefix, zero where it has none.
+	// RequestInstant is when the call was made by the clock of the follower, zero without a clock.
 	RequestInstant boottime.Instant
 }
 
@@ -42,75 +42,75 @@
 	store  kv.Store
 	prefix string
 	timing Timing
-	take   func(Change) error
+	handle func(Change) error
 	logger logging.Logger
 	clock  boottime.Clock
-	// failed is when a call failed last.
-	failed time.Time
-	// vouched reports whether the keys are known by another way as well, nil where there is none.
-	vouched func() bool
+	// failedAt is the time of the last failed call.
+	failedAt time.Time
+	// confirmed reports whether the keys are confirmed by another process as well; it may be nil.
+	confirmed func() bool
 }
 
-// NewPrefixFollower returns what hands all changes under a prefix to take; what take fails for is read again.
-func NewPrefixFollower(store kv.Store, prefix string, timing Timing, take func(Change) error, logger logging.Logger) *PrefixFollower {
-	return &PrefixFollower{store: store, prefix: prefix, timing: timing, take: take, logger: logger}
+// NewPrefixFollower returns a follower that passes all changes under a prefix to handle, and reads again after an error of handle.
+func NewPrefixFollower(store kv.Store, prefix string, timing Timing, handle func(Change) error, logger logging.Logger) *PrefixFollower {
+	return &PrefixFollower{store: store, prefix: prefix, timing: timing, handle: handle, logger: logger}
 }
 
-// WithClock sets the clock by which changes tell when they were asked for, and returns the prefix.
+// WithClock sets the clock for Change.RequestInstant, and returns the follower.
 func (p *PrefixFollower) WithClock(clock boottime.Clock) *PrefixFollower {
 	p.clock = clock
 	return p
 }
 
-// WithConfirmed sets what tells whether the keys are known by another way as well, and returns the prefix.
-func (p *PrefixFollower) WithConfirmed(vouched func() bool) *PrefixFollower {
-	p.vouched = vouched
+// WithConfirmed sets the function that reports whether the keys are confirmed by another process, and returns the follower.
+func (p *PrefixFollower) WithConfirmed(confirmed func() bool) *PrefixFollower {
+	p.confirmed = confirmed
 	return p
 }
 
-// wait returns how long the next watch waits.
-func (p *PrefixFollower) wait() time.Duration {
-	if p.timing.ConfirmedWait > 0 && p.vouched != nil && p.vouched() {
+// watchTimeout returns how long the next watch waits.
+func (p *PrefixFollower) watchTimeout() time.Duration {
+	if p.timing.ConfirmedWait > 0 && p.confirmed != nil && p.confirmed() {
 		return p.timing.ConfirmedWait
 	}
-	if !p.failed.IsZero() && time.Since(p.failed) < unsettledFor {
-		return min(p.timing.Wait, unsettledWait)
+	if !p.failedAt.IsZero() && time.Since(p.failedAt) < shortWaitPeriod {
+		return min(p.timing.Wait, shortWait)
 	}
 	return p.timing.Wait
 }
 
 const (
-	// unsettledFor is how long after a watch failed the next ones wait for unsettledWait at most: a store that has cut watches may let further ones wait
-	// without a word for what they missed.
-	unsettledFor  = 2 * time.Second
-	unsettledWait = 300 * time.Millisecond
+	// shortWaitPeriod is how long after a failed call watches wait for shortWait at most: a store that has cut watches may leave the next ones waiting,
+	// although they have missed a change.
+	shortWaitPeriod = 2 * time.Second
+	shortWait       = 300 * time.Millisecond
 )
 
-// Run follows the prefix after a revision until ctx ends; revision 0 stands for none that is known.
+// Run follows the prefix after a revision until ctx ends; revision 0 reads all keys first.
 func (p *PrefixFollower) Run(ctx context.Context, after kv.Revision) {
-	pause := wait.NewBackoff(min(retryFirst, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
+	backoff := wait.NewBackoff(min(minRetryDelay, p.timing.MaxRetryDelay), p.timing.MaxRetryDelay, rand.Float64)
 	for ctx.Err() == nil {
 		next, err := p.Next(ctx, after)
 		if err == nil {
 			after = next
-			pause.Reset()
+			backoff.Reset()
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		p.failed = time.Now()
+		p.failedAt = time.Now()
 		if after != 0 {
 			p.logger.Warn("the watch of %s failed; revision=%d reason=%v", p.prefix, after, err)
 		}
 		if fault.Is(err, fault.Stale) {
 			after = 0
 		}
-		wait.For(ctx, pause.Next())
+		wait.For(ctx, backoff.Next())
 	}
 }
 
-// Next reads all keys where no revision is known, else waits for the next change, and returns the revision to go on from.
+// Next reads all keys if after is 0 and waits for the next change otherwise, and returns the revision to continue from.
 func (p *PrefixFollower) Next(ctx context.Context, after kv.Revision) (kv.Revision, error) {
 	change := Change{Snapshot: after == 0, RequestedAt: time.Now()}
 	if p.clock != nil {
@@ -118,21 +118,21 @@
 	}
 	var err error
 	if change.Snapshot {
-		change.Events, change.Revision, err = p.all(ctx)
+		change.Events, change.Revision, err = p.readAll(ctx)
 	} else {
-		change.Events, change.Revision, err = p.store.Watch(ctx, p.prefix, after, p.wait())
+		change.Events, change.Revision, err = p.store.Watch(ctx, p.prefix, after, p.watchTimeout())
 	}
 	if err == nil && change.Revision == 0 {
-		// A watch cannot go on from there.
-		err = fault.New(fault.Unavailable, "the store named no revision")
+		// A watch cannot continue from revision 0.
+		err = fault.New(fault.Unavailable, "the store returned no revision")
 	}
 	if err != nil {
 		return 0, err
 	}
-	return change.Revision, p.take(change)
+	return change.Revision, p.handle(change)
 }
 
-func (p *PrefixFollower) all(ctx context.Context) ([]kv.Event, kv.Revision, error) {
+func (p *PrefixFollower) readAll(ctx context.Context) ([]kv.Event, kv.Revision, error) {
 	items, at, err := p.store.Range(ctx, p.prefix)
 	events := make([]kv.Event, 0, len(items))
 	for _, i := range items {
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func TestSecondClickGetsTheFirstAnswer(t *testing.T) {
+func TestRepeatedKeyGetsTheFirstAnswer(t *testing.T) {
 	k := NewKeys()
 	k.Own(1, 1, nil, time.Time{}, start)
 	first, err := k.Begin("pay", 1, start)
@@ -39,7 +39,7 @@
 	assert.Assert(t, !third.IsFirst())
 }
 
-func TestKeyIsFreeOnlyIfNothingRan(t *testing.T) {
+func TestKeyIsReleasedOnlyIfNothingRan(t *testing.T) {
 	cases := []struct {
 		kind  fault.Kind
 		first bool
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestDoubtAndKnownKeysAfterADeath(t *testing.T) {
+func TestKeysAfterPreviousOwnerFailed(t *testing.T) {
 	k := NewKeys()
 	k.Own(1, 2, []string{"ran"}, start.Add(Retention), start)
 	_, err := k.Begin("new", 1, start.Add(time.Minute))
@@ -74,112 +74,112 @@
 	assert.Equal(t, fault.KindOf(err), fault.OutcomeUnknown)
 }
 
-// TestKeysRunOnce plays double clicks through entries whose slots are handed over, buried and taken, with agents that
-// remember what they let in; no key may run twice.
+// TestKeysRunOnce checks that no key runs twice: it repeats requests through entries that join, fail and hand over a slot, with
+// an agent that records the keys that it has admitted.
 func TestKeysRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newKeyWorld(t)
+		m := newKeyModel(t)
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			w.step()
+			m.step()
 		}
 	})
 }
 
-// keyWorld is entries that own one slot in turn, and an agent that remembers.
-type keyWorld struct {
-	t      *rapid.T
-	owners Owners
-	keys   map[string]*Keys
-	alive  map[string]bool
-	sealed uint64
-	ran    map[string]int
-	letIn  []string
-	now    time.Time
-	made   int
+// keyModel holds entries that own one slot in turn, and the keys that an agent has admitted.
+type keyModel struct {
+	t           *rapid.T
+	owners      Owners
+	keys        map[string]*Keys
+	alive       map[string]bool
+	sealedEpoch uint64
+	runCount    map[string]int
+	admitted    []string
+	now         time.Time
+	entryCount  int
 }
 
-func newKeyWorld(t *rapid.T) *keyWorld {
-	w := &keyWorld{t: t, keys: make(map[string]*Keys), alive: make(map[string]bool), ran: make(map[string]int), now: start}
-	w.join()
-	w.join()
-	return w
+func newKeyModel(t *rapid.T) *keyModel {
+	m := &keyModel{t: t, keys: make(map[string]*Keys), alive: make(map[string]bool), runCount: make(map[string]int), now: start}
+	m.join()
+	m.join()
+	return m
 }
 
-func (w *keyWorld) join() {
-	w.made++
-	name := fmt.Sprint("entry-", w.made)
-	w.owners = w.owners.Join(name, "x")
-	w.keys[name], w.alive[name] = NewKeys(), true
-	w.take()
+func (m *keyModel) join() {
+	m.entryCount++
+	name := fmt.Sprint("entry-", m.entryCount)
+	m.owners = m.owners.Join(name, "x")
+	m.keys[name], m.alive[name] = NewKeys(), true
+	m.takeOver()
 }
 
-// take has the owner of the slot begin to own it, after it asked the agent if the last owner died.
-func (w *keyWorld) take() {
-	owner := w.owners.Owner(0)
+// takeOver lets the owner of the slot accept keys; if the previous owner failed, it first queries the agent for admitted keys.
+func (m *keyModel) takeOver() {
+	owner := m.owners.Owner(0)
 	var ran []string
 	if owner.PreviousFailed() {
-		w.sealed = max(w.sealed, owner.Epoch())
-		ran = append(ran, w.letIn...)
+		m.sealedEpoch = max(m.sealedEpoch, owner.Epoch())
+		ran = append(ran, m.admitted...)
 	}
-	w.keys[owner.Entry()].Own(0, owner.Epoch(), ran, time.Time{}, w.now)
+	m.keys[owner.Entry()].Own(0, owner.Epoch(), ran, time.Time{}, m.now)
 }
 
-func (w *keyWorld) step() {
-	w.now = w.now.Add(time.Second)
-	entry := rapid.SampledFrom(w.owners.Members()).Draw(w.t, "entry")
-	switch rapid.IntRange(0, 6).Draw(w.t, "action") {
+func (m *keyModel) step() {
+	m.now = m.now.Add(time.Second)
+	entry := rapid.SampledFrom(m.owners.Members()).Draw(m.t, "entry")
+	switch rapid.IntRange(0, 6).Draw(m.t, "action") {
 	case 0, 1, 2, 3:
-		// Any entry that ever owned the slot may still believe that it does.
-		for name := range w.keys {
-			if name == entry || rapid.Bool().Draw(w.t, "click") {
-				w.click(name, fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(w.t, "key")))
+		// Each entry that has owned the slot may still act as its owner.
+		for name := range m.keys {
+			if name == entry || rapid.Bool().Draw(m.t, "click") {
+				m.request(name, fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(m.t, "key")))
 			}
 		}
 	case 4:
-		w.hand(entry)
+		m.transfer(entry)
 	case 5:
-		if len(w.owners.Members()) > 1 {
-			w.alive[entry] = false
-			w.owners = w.owners.RemoveFailed(entry)
-			w.take()
+		if len(m.owners.Members()) > 1 {
+			m.alive[entry] = false
+			m.owners = m.owners.RemoveFailed(entry)
+			m.takeOver()
 		}
 	case 6:
-		if w.made < 6 {
-			w.join()
+		if m.entryCount < 6 {
+			m.join()
 		}
 	}
 }
 
-func (w *keyWorld) hand(to string) {
-	from := w.owners.Owner(0).Entry()
+func (m *keyModel) transfer(to string) {
+	from := m.owners.Owner(0).Entry()
 	if from == to {
 		return
 	}
-	w.keys[from].Close(0)
-	w.keys[to].Import(0, w.keys[from].Export(0), w.now)
-	next, err := w.owners.Transfer(0, from, to)
+	m.keys[from].Close(0)
+	m.keys[to].Import(0, m.keys[from].Export(0), m.now)
+	next, err := m.owners.Transfer(0, from, to)
 	if err != nil {
-		w.t.Fatalf("%v", err)
+		m.t.Fatalf("%v", err)
 	}
-	w.owners = next
-	w.keys[from].Drop(0)
-	w.take()
+	m.owners = next
+	m.keys[from].Drop(0)
+	m.takeOver()
 }
 
-// click asks an entry, dead ones too since they may only be paused, to run a key.
-func (w *keyWorld) click(entry, key string) {
-	ticket, err := w.keys[entry].Begin(key, 0, w.now)
+// request sends a key to an entry; failed entries receive requests too, since they may only be paused.
+func (m *keyModel) request(entry, key string) {
+	ticket, err := m.keys[entry].Begin(key, 0, m.now)
 	if err != nil || !ticket.IsFirst() {
 		return
 	}
-	if ticket.Epoch() < w.sealed {
+	if ticket.Epoch() < m.sealedEpoch {
 		ticket.Finish(nil, fault.New(fault.Stale, "the key's owner has changed"))
 		return
 	}
-	w.letIn = append(w.letIn, key)
-	w.ran[key]++
-	if w.ran[key] > 1 {
-		w.t.Fatalf("%s ran %d times", key, w.ran[key])
+	m.admitted = append(m.admitted, key)
+	m.runCount[key]++
+	if m.runCount[key] > 1 {
+		m.t.Fatalf("%s ran %d times", key, m.runCount[key])
 	}
 	ticket.Finish(NewAnswer(200, "", nil), nil)
 }
