--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -12,7 +12,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// errorWire is the body of each error answer.
+// errorWire is the JSON body of each error response.
 type errorWire struct {
 	Error errorDetail `json:"error"`
 }
@@ -24,20 +24,20 @@
 	RetryAfterMillis int64  `json:"retry_after_ms,omitempty"`
 }
 
-// writeError answers with an error at once, and tells when to return where that makes sense.
+// writeError writes an error response, with a Retry-After header if errors of this kind have a retry delay.
 func writeError(ctx *fasthttp.RequestCtx, err error) {
 	kind := fault.KindOf(err)
 	answer := kind.Answer()
 	detail := errorDetail{Kind: kind.String(), Message: err.Error(), Ran: string(answer.Ran())}
 	if answer.HasRetryAfter() {
-		after := fault.RetryAfter(err)
-		detail.RetryAfterMillis = after.Milliseconds()
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfterSeconds(after))
+		delay := fault.RetryAfter(err)
+		detail.RetryAfterMillis = delay.Milliseconds()
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfterSeconds(delay))
 	}
 	writeJSON(ctx, answer.Status(), errorWire{Error: detail})
 }
 
-// RefuseCaller answers what the server itself turns away.
+// RefuseCaller writes the response to a request that the HTTP server rejects before its handler runs.
 func RefuseCaller(ctx *fasthttp.RequestCtx, err error) {
 	if admin.IsTooLarge(err) {
 		writeError(ctx, fault.Wrap(err, fault.TooLarge, "the body is over the limit"))
@@ -46,13 +46,13 @@
 	writeError(ctx, fault.Wrap(err, fault.BadInput, "the request cannot be read"))
 }
 
-// retryAfterSeconds is the header's form of a wait: whole seconds, rounded up.
+// retryAfterSeconds formats a delay for the Retry-After header: whole seconds, rounded up.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-func writeJSON(ctx *fasthttp.RequestCtx, status int, answer any) {
-	body, err := json.Marshal(answer)
+func writeJSON(ctx *fasthttp.RequestCtx, status int, value any) {
+	body, err := json.Marshal(value)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -12,7 +12,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// Headers of callers' requests and of their answers.
+// Headers of callers' requests and of the responses to them.
 const (
 	HeaderDeadline   = "X-Deadline-Ms"
 	HeaderKey        = "X-Request-Key"
@@ -27,10 +27,10 @@
 	maxDeadline  = 10 * time.Minute
 )
 
-// HandleCallers serves the callers' interface.
+// HandleCallers serves the callers' HTTP API.
 func (e *Entry) HandleCallers(ctx *fasthttp.RequestCtx) {
-	e.open.Add(1)
-	defer e.open.Add(-1)
+	e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
 	if e.leaving.Load() {
 		ctx.SetConnectionClose()
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-// request is a caller's request on its way.
+// request is a caller's request while the entry handles it.
 type request struct {
 	id          string
 	service     string
@@ -62,19 +62,19 @@
 	epoch       uint64
 }
 
-// keyed is the key as it is remembered: with its service before it, which has no space.
-func (r *request) keyed() string { return r.service + " " + r.key }
+// storedKey returns the key prefixed with its service; a service name has no space, so the first space separates them.
+func (r *request) storedKey() string { return r.service + " " + r.key }
 
 func (e *Entry) handleRequest(ctx *fasthttp.RequestCtx, service string) {
-	began := time.Now()
-	r, err := e.readRequest(ctx, service, began)
+	startedAt := time.Now()
+	r, err := e.readRequest(ctx, service, startedAt)
 	if err != nil {
 		e.Metrics.Counter("requests.refused").Inc(1)
 		writeError(ctx, err)
 		return
 	}
 	answer, err := e.serve(r)
-	e.Metrics.Histogram("requests.latency_us").Update(time.Since(began).Microseconds())
+	e.Metrics.Histogram("requests.latency_us").Update(time.Since(startedAt).Microseconds())
 	ctx.Response.Header.Set(HeaderRequestID, r.id)
 	if err != nil {
 		e.Metrics.Counter("requests.failed." + fault.KindOf(err).String()).Inc(1)
@@ -86,8 +86,7 @@
 	writeAnswer(ctx, answer)
 }
 
-// recordFailure puts a failed request on the time line; of those that are refused some a second, since they come in
-// floods.
+// recordFailure records a failed request on the timeline, refused ones at a limited rate, since they come in floods.
 func (e *Entry) recordFailure(r *request, err error) {
 	subject := timeline.Subject{Request: r.id}
 	text := r.service + ": " + err.Error()
@@ -111,7 +110,7 @@
 		return nil, err
 	}
 	r := &request{
-		id: e.numbers.next(), service: service, body: ctx.Request.Body(), deadline: deadline,
+		id: e.requestIDs.next(), service: service, body: ctx.Request.Body(), deadline: deadline,
 		contentType: string(ctx.Request.Header.ContentType()),
 		key:         string(ctx.Request.Header.Peek(HeaderKey)),
 	}
@@ -141,9 +140,9 @@
 	return now.Add(time.Duration(millis) * time.Millisecond), nil
 }
 
-// serve answers a request: one with a key that may not be repeated through the owner of the key, others at once.
+// serve routes a request; one with a key that may not be repeated goes through the owner of the key.
 func (e *Entry) serve(r *request) (*idempotency.Answer, error) {
-	// Until its keys are handed over a stopping entry takes requests, since the balancer may not know yet.
+	// A stopping entry accepts requests until its keys are handed over, since the load balancer may still send them.
 	if e.keys.closing.Load() {
 		return nil, fault.New(fault.Leaving, "the entry is stopping")
 	}
@@ -157,7 +156,7 @@
 }
 
 func (e *Entry) checkService(service string) error {
-	t, _, loaded := e.rows.Current()
+	t, _, loaded := e.tableDocument.Current()
 	if !loaded {
 		return fault.New(fault.Unavailable, "the table has not been read yet")
 	}
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,3 +1,3 @@
-// Package entry is the process on an entry VM: it takes callers' requests and
-// jobs over HTTP, routes and answers them, and takes the operators' edits.
+// Package entry implements the process on an entry VM: it accepts callers' requests
+// and jobs over HTTP, routes them, and accepts the operators' edits of the table.
 package entry
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -21,27 +21,28 @@
 	closeTimeout = 3 * time.Second
 )
 
-// hand closes slots, lets their requests end, gives their keys to the next owner and then the slots themselves.
-func (k *keyring) hand(ctx context.Context, owners idempotency.Owners, slots []int, to string) {
+// moveSlots closes slots, waits for their requests to end, sends their keys to the next owner and then passes on the
+// ownership; if it fails, the slots are reopened.
+func (k *keyOwner) moveSlots(ctx context.Context, owners idempotency.Owners, slots []int, to string) {
 	address, ok := owners.Address(to)
 	if !ok {
 		return
 	}
-	if err := k.tryHand(ctx, slots, to, address); err != nil {
-		k.entry.Logger.Warn("cannot hand keys to %s: %v", to, err)
+	if err := k.tryMoveSlots(ctx, slots, to, address); err != nil {
+		k.entry.Logger.Warn("cannot hand keys over to %s: %v", to, err)
 		for _, slot := range slots {
 			k.keys.Reopen(slot)
 		}
 	}
 }
 
-func (k *keyring) tryHand(ctx context.Context, slots []int, to, address string) error {
+func (k *keyOwner) tryMoveSlots(ctx context.Context, slots []int, to, address string) error {
 	if err := k.closeSlots(ctx, slots); err != nil {
 		return err
 	}
 	var message control.Handover
 	for _, slot := range slots {
-		message.Slots = append(message.Slots, control.HandoverSlot{Slot: slot, Keys: encodeKept(k.keys.Export(slot))})
+		message.Slots = append(message.Slots, control.HandoverSlot{Slot: slot, Keys: encodeKeyResults(k.keys.Export(slot))})
 	}
 	if err := k.post(address, control.PathHandover, message, nil); err != nil {
 		return err
@@ -52,11 +53,11 @@
 			if o.Owner(slot).Entry() != k.member {
 				continue
 			}
-			handed, err := next.Transfer(slot, k.member, to)
+			moved, err := next.Transfer(slot, k.member, to)
 			if err != nil {
 				return o, false, err
 			}
-			next, changed = handed, true
+			next, changed = moved, true
 		}
 		return next, changed, nil
 	})
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// closeSlots waits until no request of the slots runs.
-func (k *keyring) closeSlots(ctx context.Context, slots []int) error {
+// closeSlots closes the slots and waits until none of their requests runs.
+func (k *keyOwner) closeSlots(ctx context.Context, slots []int) error {
 	end := time.Now().Add(closeTimeout)
 	for time.Now().Before(end) {
 		running := 0
@@ -80,16 +81,16 @@
 		if running == 0 {
 			return nil
 		}
-		store.Pause(ctx, drainPoll)
+		store.Pause(ctx, drainPollInterval)
 	}
-	return fault.New(fault.Unavailable, "requests of the keys still run")
+	return fault.New(fault.Unavailable, "requests with these keys are still running")
 }
 
-func encodeKept(kept []idempotency.KeyResult) []control.HandoverKey {
-	wires := make([]control.HandoverKey, 0, len(kept))
-	for _, h := range kept {
-		w := control.HandoverKey{Key: h.Key()}
-		if a := h.Answer(); a != nil {
+func encodeKeyResults(results []idempotency.KeyResult) []control.HandoverKey {
+	wires := make([]control.HandoverKey, 0, len(results))
+	for _, result := range results {
+		w := control.HandoverKey{Key: result.Key()}
+		if a := result.Answer(); a != nil {
 			w.HasAnswer, w.Status, w.ContentType, w.Body = true, a.Status(), a.ContentType(), a.Body()
 		}
 		wires = append(wires, w)
@@ -97,54 +98,55 @@
 	return wires
 }
 
-func decodeKept(wires []control.HandoverKey) []idempotency.KeyResult {
-	kept := make([]idempotency.KeyResult, 0, len(wires))
+func decodeKeyResults(wires []control.HandoverKey) []idempotency.KeyResult {
+	results := make([]idempotency.KeyResult, 0, len(wires))
 	for _, w := range wires {
 		var answer *idempotency.Answer
 		if w.HasAnswer {
 			answer = idempotency.NewAnswer(w.Status, w.ContentType, w.Body)
 		}
-		kept = append(kept, idempotency.NewKeyResult(w.Key, answer))
+		results = append(results, idempotency.NewKeyResult(w.Key, answer))
 	}
-	return kept
+	return results
 }
 
-// takeDoubtful asks every agent to refuse the dead owner and to say which keys it ran, and then owns the slots.
+// takeFromFailed makes each agent reject the failed owner and report the keys that it ran, and then owns the slots.
 //
-// What an agent that cannot be asked may have run stays in doubt.
-func (k *keyring) takeDoubtful(owners idempotency.Owners, slots []int, now time.Time) {
+// If an agent cannot be reached, keys that it may have run have an unknown outcome.
+func (k *keyOwner) takeFromFailed(owners idempotency.Owners, slots []int, now time.Time) {
 	seal := control.Seal{Slots: slots}
 	for _, slot := range slots {
 		seal.Epochs = append(seal.Epochs, owners.Owner(slot).Epoch())
 	}
 	var mu sync.Mutex
 	ran := make(map[int][]string)
-	var doubtUntil time.Time
-	if lost := k.entry.catalog.LastVanished(); !lost.IsZero() {
-		doubtUntil = lost.Add(idempotency.Retention)
+	var unknownUntil time.Time
+	if vanishedAt := k.entry.catalog.LastVanished(); !vanishedAt.IsZero() {
+		unknownUntil = vanishedAt.Add(idempotency.Retention)
 	}
-	var asked sync.WaitGroup
+	var seals sync.WaitGroup
 	for _, endpoint := range k.entry.catalog.AgentEndpoints() {
-		asked.Go(func() {
+		seals.Go(func() {
 			answer, err := k.seal(endpoint, seal)
 			mu.Lock()
 			defer mu.Unlock()
-			doubtUntil = later(doubtUntil, doubtOf(answer, err, now))
+			unknownUntil = later(unknownUntil, unknownUntilOf(answer, err, now))
 			for _, key := range answer.Keys {
 				slot := slotOfKey(key)
 				ran[slot] = append(ran[slot], key)
 			}
 		})
 	}
-	asked.Wait()
+	seals.Wait()
 	for _, slot := range slots {
-		k.keys.Own(slot, owners.Owner(slot).Epoch(), ran[slot], doubtUntil, now)
+		k.keys.Own(slot, owners.Owner(slot).Epoch(), ran[slot], unknownUntil, now)
 	}
-	k.entry.Logger.Info("took %d slots of keys over; in doubt until %s", len(slots), doubtUntil.Format(time.TimeOnly))
+	k.entry.Logger.Info("took over %d key slots of failed owners; outcomes of earlier keys are unknown until %s", len(slots), unknownUntil.Format(time.TimeOnly))
 }
 
-// doubtOf is until when keys stay in doubt for an agent's sake.
-func doubtOf(answer control.SealAnswer, err error, now time.Time) time.Time {
+// unknownUntilOf returns until when the outcome of keys is unknown because an agent did not answer or has lost earlier
+// records in a restart.
+func unknownUntilOf(answer control.SealAnswer, err error, now time.Time) time.Time {
 	if err != nil {
 		return now.Add(idempotency.Retention)
 	}
@@ -162,36 +164,36 @@
 	return b
 }
 
-func (k *keyring) seal(endpoint *catalog.Endpoint, seal control.Seal) (control.SealAnswer, error) {
+func (k *keyOwner) seal(endpoint *catalog.Endpoint, seal control.Seal) (control.SealAnswer, error) {
 	var answer control.SealAnswer
 	body, err := json.Marshal(seal)
 	if err != nil {
 		return answer, fault.Wrap(err, fault.Internal, "cannot encode the seal")
 	}
-	out, in := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(out)
-	defer fasthttp.ReleaseResponse(in)
-	out.SetRequestURI("http://" + endpoint.Address() + control.PathSeal)
-	out.Header.SetMethod(fasthttp.MethodPost)
-	out.Header.Set(control.HeaderSecret, k.entry.Secret)
-	out.SetBody(body)
-	if err := endpoint.Client().DoTimeout(out, in, sealTimeout); err != nil {
-		return answer, fault.Wrap(err, fault.Unavailable, "the agent cannot be asked")
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI("http://" + endpoint.Address() + control.PathSeal)
+	req.Header.SetMethod(fasthttp.MethodPost)
+	req.Header.Set(control.HeaderSecret, k.entry.Secret)
+	req.SetBody(body)
+	if err := endpoint.Client().DoTimeout(req, resp, sealTimeout); err != nil {
+		return answer, fault.Wrap(err, fault.Unavailable, "the agent cannot be reached")
 	}
-	if in.StatusCode() != fasthttp.StatusOK {
-		return answer, fault.New(fault.Unavailable, "the agent refused with status %d", in.StatusCode())
+	if resp.StatusCode() != fasthttp.StatusOK {
+		return answer, fault.New(fault.Unavailable, "the agent refused the seal with status %d", resp.StatusCode())
 	}
-	if err := json.Unmarshal(in.Body(), &answer); err != nil {
+	if err := json.Unmarshal(resp.Body(), &answer); err != nil {
 		return answer, fault.Wrap(err, fault.Internal, "the agent's answer cannot be read")
 	}
 	if answer.Boot != endpoint.Boot() && !answer.NoEarlierStart {
-		return answer, fault.New(fault.Unavailable, "the agent was started anew")
+		return answer, fault.New(fault.Unavailable, "the agent has restarted")
 	}
 	return answer, nil
 }
 
-// slotOfKey returns the slot of a key as it is remembered.
-func slotOfKey(keyed string) int {
-	service, key, _ := strings.Cut(keyed, " ")
+// slotOfKey returns the slot of a key in the form of request.storedKey.
+func slotOfKey(storedKey string) int {
+	service, key, _ := strings.Cut(storedKey, " ")
 	return idempotency.SlotOf(service, key)
 }
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -17,12 +17,12 @@
 
 const (
 	jobTimeout  = 8 * time.Second
-	jobKeyFor   = 24 * time.Hour
+	jobKeyTTL   = 24 * time.Hour
 	maxPayload  = 1 << 10
 	maxJobTasks = 100_000
 )
 
-// submission is a job as a caller posts it.
+// submission is the JSON body of a job submission.
 type submission struct {
 	Workload string `json:"workload"`
 	Tasks    int    `json:"tasks"`
@@ -41,9 +41,9 @@
 		writeError(ctx, err)
 		return
 	}
-	limited, cancel := context.WithTimeout(context.Background(), jobTimeout)
+	callContext, cancel := context.WithTimeout(context.Background(), jobTimeout)
 	defer cancel()
-	job, err := e.submit(limited, s, row)
+	job, err := e.submit(callContext, s, row)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -52,7 +52,7 @@
 }
 
 func (e *Entry) checkSubmission(s submission) (table.Row, error) {
-	t, _, loaded := e.rows.Current()
+	t, _, loaded := e.tableDocument.Current()
 	if !loaded {
 		return table.Row{}, fault.New(fault.Unavailable, "the table has not been read yet")
 	}
@@ -73,14 +73,14 @@
 	}
 }
 
-// submit hands a job to a cell; one with a key is the same job whenever and wherever it is posted again within a day.
+// submit sends a job to a cell; submissions with the same job key at any entry within a day return the same job.
 func (e *Entry) submit(ctx context.Context, s submission, row table.Row) (control.Job, error) {
 	cells := e.catalog.ForJob(row.Size())
 	if len(cells) == 0 {
 		if !e.catalog.WorkersReported() {
-			return control.Job{}, fault.New(fault.Unavailable, "not every cell has a lead that has heard its workers")
+			return control.Job{}, fault.New(fault.Unavailable, "not every cell has a leader with reports from its workers")
 		}
-		return control.Job{}, fault.New(fault.Impossible, "no worker of the region has %s, even empty", row.Size())
+		return control.Job{}, fault.New(fault.Impossible, "no worker of the region has a capacity of %s", row.Size())
 	}
 	id := cells[0] + "." + ulid.Make().String()
 	if s.Key != "" {
@@ -93,36 +93,36 @@
 	message := control.Submit{
 		ID: id, Workload: s.Workload, Payload: s.Payload, Tasks: s.Tasks, SubmittedMillis: time.Now().UnixMilli(),
 	}
-	return callLead[control.Submit, control.Job](ctx, e, cellOfJob(id), control.MethodSubmit, message)
+	return callLeader[control.Submit, control.Job](ctx, e, cellOfJob(id), control.MethodSubmit, message)
 }
 
-// claimJobKey binds a caller's key to a job, or returns the job that it is bound to.
+// claimJobKey binds a caller's key to a job, or returns the ID of the job that it is already bound to.
 func (e *Entry) claimJobKey(ctx context.Context, key, id string) (string, error) {
-	lease, err := e.Store.Acquire(ctx, "job/"+key, id, jobKeyFor)
+	lease, err := e.Store.Acquire(ctx, "job/"+key, id, jobKeyTTL)
 	switch {
 	case err == nil:
 		return id, nil
 	case fault.Is(err, fault.Conflict):
 		return lease.Holder(), nil
 	case fault.Is(err, fault.OutcomeUnknown):
-		// Whatever became of the claim, no job was handed over yet.
+		// No job has been submitted yet, whether or not the claim succeeded.
 		return "", fault.Wrap(err, fault.Unavailable, "the key cannot be claimed for now")
 	default:
 		return "", err
 	}
 }
 
-// cellOfJob returns the cell that keeps a job, which is in its identifier.
+// cellOfJob returns the cell of a job, which is the prefix of its ID.
 func cellOfJob(id string) string {
 	cell, _, _ := strings.Cut(id, ".")
 	return cell
 }
 
-func callLead[Req, Res any](ctx context.Context, e *Entry, cell, method string, request Req) (Res, error) {
-	var none Res
+func callLeader[Req, Res any](ctx context.Context, e *Entry, cell, method string, request Req) (Res, error) {
+	var zero Res
 	peer, err := e.catalog.Peer(cell)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	return rpc.Call[Req, Res](ctx, peer, method, request)
 }
@@ -136,9 +136,9 @@
 }
 
 func (e *Entry) answerJob(ctx *fasthttp.RequestCtx, id, method string) {
-	limited, cancel := context.WithTimeout(context.Background(), jobTimeout)
+	callContext, cancel := context.WithTimeout(context.Background(), jobTimeout)
 	defer cancel()
-	job, err := callLead[control.JobQuery, control.Job](limited, e, cellOfJob(id), method, control.JobQuery{ID: id})
+	job, err := callLeader[control.JobQuery, control.Job](callContext, e, cellOfJob(id), method, control.JobQuery{ID: id})
 	if err != nil {
 		writeError(ctx, err)
 		return
--- a/internal/entry/keyowner.go
+++ b/internal/entry/keyowner.go
@@ -16,74 +16,74 @@
 )
 
 const (
-	ownersKey   = "keys"
-	deadAfter   = 3 * time.Second
-	tickEach    = 200 * time.Millisecond
-	pauseLimit  = 1500 * time.Millisecond
-	handTimeout = 5 * time.Second
+	ownersKey       = "keys"
+	memberTimeout   = 3 * time.Second
+	tickInterval    = 200 * time.Millisecond
+	maxPause        = 1500 * time.Millisecond
+	handOverTimeout = 5 * time.Second
 
-	movePatience = 3 * time.Second
-	movePoll     = 50 * time.Millisecond
+	moveTimeout      = 3 * time.Second
+	movePollInterval = 50 * time.Millisecond
 )
 
-// keyring is the entry's part in owning the callers' keys.
-type keyring struct {
-	entry    *Entry
-	member   string
-	keys     *idempotency.Keys
-	document *store.Document[idempotency.Owners]
-	closing  atomic.Bool
-	ticked   atomic.Int64
-	paused   atomic.Bool
-	started  time.Time
+// keyOwner owns the slots of callers' keys that the owners document assigns to the entry.
+type keyOwner struct {
+	entry     *Entry
+	member    string
+	keys      *idempotency.Keys
+	document  *store.Document[idempotency.Owners]
+	closing   atomic.Bool
+	lastTick  atomic.Int64
+	paused    atomic.Bool
+	startedAt time.Time
 
-	mu      sync.Mutex
-	silent  map[string]time.Time
-	clients map[string]*fasthttp.HostClient
+	mu          sync.Mutex
+	silentSince map[string]time.Time
+	clients     map[string]*fasthttp.HostClient
 }
 
-func newKeyring(e *Entry, keys *idempotency.Keys) *keyring {
-	k := &keyring{
-		entry: e, member: e.ID + "/" + ulid.Make().String(), keys: keys, started: time.Now(),
-		document: store.NewDocument(e.Store, ownersKey, store.NewCodec(idempotency.EncodeOwners, idempotency.DecodeOwners)),
-		silent:   make(map[string]time.Time),
-		clients:  make(map[string]*fasthttp.HostClient),
+func newKeyOwner(e *Entry, keys *idempotency.Keys) *keyOwner {
+	k := &keyOwner{
+		entry: e, member: e.ID + "/" + ulid.Make().String(), keys: keys, startedAt: time.Now(),
+		document:    store.NewDocument(e.Store, ownersKey, store.NewCodec(idempotency.EncodeOwners, idempotency.DecodeOwners)),
+		silentSince: make(map[string]time.Time),
+		clients:     make(map[string]*fasthttp.HostClient),
 	}
-	k.ticked.Store(time.Since(k.started).Nanoseconds())
+	k.lastTick.Store(time.Since(k.startedAt).Nanoseconds())
 	return k
 }
 
-// run joins the owners and keeps to what the document says until ctx ends.
-func (k *keyring) run(ctx context.Context) error {
-	go k.tick(ctx)
+// run joins the owners document and follows its assignments until ctx ends.
+func (k *keyOwner) run(ctx context.Context) error {
+	go k.detectPauses(ctx)
 	go store.Follow(ctx, k.document, func(idempotency.Owners, store.Version) {},
 		func(err error) { k.entry.Logger.Debug("cannot watch the owners of keys: %v", err) })
 	for ctx.Err() == nil {
 		if !k.closing.Load() {
-			k.round(ctx)
+			k.reconcile(ctx)
 		}
 		store.Pause(ctx, k.entry.Timing.Keys)
 	}
 	return ctx.Err()
 }
 
-// tick notices when the process was paused, after which it no longer trusts what it knew.
-func (k *keyring) tick(ctx context.Context) {
+// detectPauses detects that the process was paused; the owners must then be read again before keys are served.
+func (k *keyOwner) detectPauses(ctx context.Context) {
 	for ctx.Err() == nil {
-		now := time.Since(k.started).Nanoseconds()
-		if now-k.ticked.Swap(now) > pauseLimit.Nanoseconds() {
+		now := time.Since(k.startedAt).Nanoseconds()
+		if now-k.lastTick.Swap(now) > maxPause.Nanoseconds() {
 			k.paused.Store(true)
 		}
-		store.Pause(ctx, tickEach)
+		store.Pause(ctx, tickInterval)
 	}
 }
 
-// trusts reports whether the process has not been paused since it last read the owners.
-func (k *keyring) trusts() bool {
-	return !k.paused.Load() && time.Since(k.started).Nanoseconds()-k.ticked.Load() <= pauseLimit.Nanoseconds()
+// isCurrent reports whether the process has not been paused since it last read the owners.
+func (k *keyOwner) isCurrent() bool {
+	return !k.paused.Load() && time.Since(k.startedAt).Nanoseconds()-k.lastTick.Load() <= maxPause.Nanoseconds()
 }
 
-func (k *keyring) round(ctx context.Context) {
+func (k *keyOwner) reconcile(ctx context.Context) {
 	if k.paused.Load() {
 		if err := k.document.Load(ctx); err != nil {
 			return
@@ -98,11 +98,11 @@
 		k.join(ctx)
 		return
 	}
-	k.buryDead(ctx, owners)
-	k.settleSlots(ctx, owners)
+	k.removeFailedMembers(ctx, owners)
+	k.reconcileSlots(ctx, owners)
 }
 
-func (k *keyring) join(ctx context.Context) {
+func (k *keyOwner) join(ctx context.Context) {
 	_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
 		if _, ok := o.Address(k.member); ok {
 			return o, false, nil
@@ -114,14 +114,14 @@
 	}
 }
 
-// buryDead gives the slots of members that do not answer for a while to others.
-func (k *keyring) buryDead(ctx context.Context, owners idempotency.Owners) {
+// removeFailedMembers removes members that have not answered for memberTimeout, which assigns their slots to others.
+func (k *keyOwner) removeFailedMembers(ctx context.Context, owners idempotency.Owners) {
 	for _, member := range owners.Members() {
 		if member == k.member {
 			continue
 		}
 		address, _ := owners.Address(member)
-		if !k.isDead(member, k.ping(address, member), time.Now()) {
+		if !k.hasFailed(member, k.ping(address, member), time.Now()) {
 			continue
 		}
 		_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
@@ -131,29 +131,30 @@
 			return o.RemoveFailed(member), true, nil
 		})
 		if err == nil {
-			k.entry.Logger.Warn("entry %s does not answer, and others own its keys now", member)
+			k.entry.Logger.Warn("entry %s does not answer; its keys are assigned to other entries", member)
 		}
 	}
 }
 
-func (k *keyring) isDead(member string, answers bool, now time.Time) bool {
+func (k *keyOwner) hasFailed(member string, answered bool, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if answers {
-		delete(k.silent, member)
+	if answered {
+		delete(k.silentSince, member)
 		return false
 	}
-	since, ok := k.silent[member]
+	since, ok := k.silentSince[member]
 	if !ok {
-		k.silent[member] = now
+		k.silentSince[member] = now
 		return false
 	}
-	return now.Sub(since) >= deadAfter
+	return now.Sub(since) >= memberTimeout
 }
 
-// settleSlots begins to own what the document gives this entry, gives up what it does not, and hands over the rest.
-func (k *keyring) settleSlots(ctx context.Context, owners idempotency.Owners) {
-	var taken []int
+// reconcileSlots takes the slots that the document newly assigns to this entry, drops those that it no longer owns, and
+// moves those that another member should own.
+func (k *keyOwner) reconcileSlots(ctx context.Context, owners idempotency.Owners) {
+	var newSlots []int
 	moving := make(map[string][]int)
 	for slot := range idempotency.SlotCount {
 		owner := owners.Owner(slot)
@@ -164,60 +165,60 @@
 				k.keys.Drop(slot)
 			}
 		case !owns || epoch != owner.Epoch():
-			taken = append(taken, slot)
+			newSlots = append(newSlots, slot)
 		case owners.Preferred(slot) != k.member:
 			moving[owners.Preferred(slot)] = append(moving[owners.Preferred(slot)], slot)
 		}
 	}
-	if len(taken) > 0 {
-		k.take(owners, taken)
+	if len(newSlots) > 0 {
+		k.takeSlots(owners, newSlots)
 	}
 	for to, slots := range moving {
-		k.hand(ctx, owners, slots, to)
+		k.moveSlots(ctx, owners, slots, to)
 	}
 }
 
-// take owns slots; those whose owner died only after the agents were asked what they ran.
-func (k *keyring) take(owners idempotency.Owners, slots []int) {
+// takeSlots owns slots; for slots of a failed owner it first collects the keys that the agents ran.
+func (k *keyOwner) takeSlots(owners idempotency.Owners, slots []int) {
 	now := time.Now()
-	var doubtful []int
+	var failedSlots []int
 	for _, slot := range slots {
 		if owners.Owner(slot).PreviousFailed() {
-			doubtful = append(doubtful, slot)
+			failedSlots = append(failedSlots, slot)
 			continue
 		}
 		k.keys.Own(slot, owners.Owner(slot).Epoch(), nil, time.Time{}, now)
 	}
-	k.entry.Recorder.Record(timeline.KeySlotsAcquired, timeline.Subject{}, "owns keys of slots anew")
-	if len(doubtful) > 0 {
-		k.takeDoubtful(owners, doubtful, now)
+	k.entry.Recorder.Record(timeline.KeySlotsAcquired, timeline.Subject{}, "took ownership of key slots")
+	if len(failedSlots) > 0 {
+		k.takeFromFailed(owners, failedSlots, now)
 	}
 }
 
-// serve answers a request with a key, here if this entry owns the key, else through the owner.
+// serve handles a request with a key, locally if this entry owns the key, otherwise through the owner.
 //
-// While a slot moves from one entry to another the request waits a little, since nothing was decided about it yet.
-func (k *keyring) serve(r *request) (*idempotency.Answer, error) {
+// While its slot moves between entries the request is retried for up to moveTimeout: no owner has accepted it yet.
+func (k *keyOwner) serve(r *request) (*idempotency.Answer, error) {
 	r.slot = idempotency.SlotOf(r.service, r.key)
-	patience := time.Now().Add(movePatience)
+	giveUpAt := time.Now().Add(moveTimeout)
 	for {
 		answer, moving, err := k.tryServe(r)
-		if !moving || time.Now().After(patience) || time.Until(r.deadline) < movePoll {
+		if !moving || time.Now().After(giveUpAt) || time.Until(r.deadline) < movePollInterval {
 			return answer, err
 		}
-		<-time.After(movePoll)
+		<-time.After(movePollInterval)
 	}
 }
 
-// tryServe serves a request as things stand; moving says that its slot has no owner that serves at the moment.
-func (k *keyring) tryServe(r *request) (answer *idempotency.Answer, moving bool, err error) {
+// tryServe makes one attempt to serve a request; moving reports that its slot has no owner that serves at the moment.
+func (k *keyOwner) tryServe(r *request) (answer *idempotency.Answer, moving bool, err error) {
 	if _, owns := k.keys.Owns(r.slot); owns {
 		answer, err = k.serveOwned(r)
 		return answer, false, err
 	}
 	owners, _, loaded := k.document.Current()
 	if !loaded {
-		return nil, true, fault.New(fault.OutcomeUnknown, "it is not known yet who owns the key")
+		return nil, true, fault.New(fault.OutcomeUnknown, "the owner of the key is not known yet")
 	}
 	owner := owners.Owner(r.slot)
 	if owner.Entry() == k.member || owner.Entry() == "" {
@@ -225,17 +226,17 @@
 	}
 	address, ok := owners.Address(owner.Entry())
 	if !ok {
-		return nil, true, fault.New(fault.OutcomeUnknown, "the owner of the key is not known")
+		return nil, true, fault.New(fault.OutcomeUnknown, "the owner of the key has no known address")
 	}
 	return k.forward(address, r)
 }
 
-// serveOwned runs the request if it is the first with its key, and waits for the first otherwise.
-func (k *keyring) serveOwned(r *request) (*idempotency.Answer, error) {
-	if !k.trusts() {
+// serveOwned runs a request if it is the first with its key, and otherwise waits for the result of the first.
+func (k *keyOwner) serveOwned(r *request) (*idempotency.Answer, error) {
+	if !k.isCurrent() {
 		return nil, fault.New(fault.OutcomeUnknown, "the owner of the key was paused")
 	}
-	ticket, err := k.keys.Begin(r.keyed(), r.slot, time.Now())
+	ticket, err := k.keys.Begin(r.storedKey(), r.slot, time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -249,28 +250,28 @@
 	case <-ticket.Done():
 		return ticket.Result()
 	case <-time.After(time.Until(r.deadline)):
-		return nil, fault.New(fault.OutcomeUnknown, "an earlier request with the key still runs")
+		return nil, fault.New(fault.OutcomeUnknown, "an earlier request with the key is still running")
 	}
 }
 
-// handOver hands all slots to others before the process ends, and leaves the owners.
-func (k *keyring) handOver(ctx context.Context) {
+// handOver moves all slots to other members before the process ends, and leaves the owners document.
+func (k *keyOwner) handOver(ctx context.Context) {
 	k.closing.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, handTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	owners, _, loaded := k.document.Current()
 	if !loaded {
 		return
 	}
-	rest := owners.Leave(k.member)
+	remaining := owners.Leave(k.member)
 	moving := make(map[string][]int)
 	for slot := range idempotency.SlotCount {
-		if _, owns := k.keys.Owns(slot); owns && rest.Preferred(slot) != "" {
-			moving[rest.Preferred(slot)] = append(moving[rest.Preferred(slot)], slot)
+		if _, owns := k.keys.Owns(slot); owns && remaining.Preferred(slot) != "" {
+			moving[remaining.Preferred(slot)] = append(moving[remaining.Preferred(slot)], slot)
 		}
 	}
 	for to, slots := range moving {
-		k.hand(ctx, owners, slots, to)
+		k.moveSlots(ctx, owners, slots, to)
 	}
 	_, err := k.document.Update(ctx, func(o idempotency.Owners) (idempotency.Owners, bool, error) {
 		if _, ok := o.Address(k.member); !ok || ownsAny(o, k.member) {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -18,11 +18,11 @@
 const HeaderTableVersion = "X-Table-Version"
 
 const (
-	tableTimeout = 8 * time.Second
-	sightTimeout = 4 * time.Second
+	tableTimeout  = 8 * time.Second
+	statusTimeout = 4 * time.Second
 )
 
-// HandleOperators serves the operators' interface, and reports whether the path is one of its.
+// HandleOperators serves the operators' HTTP API and reports whether the path belongs to it.
 func (e *Entry) HandleOperators(ctx *fasthttp.RequestCtx) bool {
 	switch path := string(ctx.Path()); {
 	case path == "/v1/table" && ctx.IsGet():
@@ -46,7 +46,7 @@
 }
 
 func (e *Entry) handleTable(ctx *fasthttp.RequestCtx) {
-	t, _, loaded := e.rows.Current()
+	t, _, loaded := e.tableDocument.Current()
 	if !loaded {
 		writeError(ctx, fault.New(fault.Unavailable, "the table has not been read yet"))
 		return
@@ -95,14 +95,14 @@
 	writeJSON(ctx, fasthttp.StatusOK, applyWire{Version: applied, Rows: len(rows)})
 }
 
-// apply merges an edit into the table by one swap, and returns the version that has it.
+// apply merges an edit into the table atomically and returns the version that contains it.
 func (e *Entry) apply(edit table.Edit) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), tableTimeout)
 	defer cancel()
-	if err := e.rows.Load(ctx); err != nil {
+	if err := e.tableDocument.Load(ctx); err != nil {
 		return 0, fault.Wrap(err, fault.Unavailable, "the table cannot be changed for now")
 	}
-	t, err := e.rows.Update(ctx, func(t table.Table) (table.Table, bool, error) {
+	t, err := e.tableDocument.Update(ctx, func(t table.Table) (table.Table, bool, error) {
 		next, err := t.Apply(edit, time.Now())
 		return next, err == nil && next.Version() != t.Version(), err
 	})
@@ -113,7 +113,7 @@
 	return t.Version(), nil
 }
 
-// changeWire is an accepted edit as programs read it.
+// changeWire is the JSON form of an accepted edit.
 type changeWire struct {
 	Version uint64     `json:"version"`
 	Author  string     `json:"author"`
@@ -145,22 +145,22 @@
 	writeJSON(ctx, fasthttp.StatusOK, changes)
 }
 
-// statusWire is the state of the region as the entry sees it.
+// statusWire is the JSON form of the region's state as known to the entry.
 type statusWire struct {
 	Entry        string               `json:"entry"`
 	TableVersion uint64               `json:"table_version"`
 	Cells        []control.CellStatus `json:"cells"`
 	Unreachable  []string             `json:"cells_without_lead"`
-	// Endpoints is how many endpoints of each service the entry sends requests to.
+	// Endpoints is the number of endpoints of each service to which the entry sends requests.
 	Endpoints map[string]int `json:"endpoints"`
 }
 
 func (e *Entry) handleStatus(ctx *fasthttp.RequestCtx) {
-	limited, cancel := context.WithTimeout(context.Background(), sightTimeout)
+	callContext, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	status := statusWire{Entry: e.ID, TableVersion: e.table().Version(), Unreachable: []string{}, Cells: []control.CellStatus{}, Endpoints: e.catalog.Counts()}
 	for _, name := range e.catalog.CellNames() {
-		cell, err := callLead[control.StatusQuery, control.CellStatus](limited, e, name, control.MethodStatus, control.StatusQuery{})
+		cell, err := callLeader[control.StatusQuery, control.CellStatus](callContext, e, name, control.MethodStatus, control.StatusQuery{})
 		if err != nil {
 			status.Unreachable = append(status.Unreachable, name)
 			continue
@@ -170,37 +170,37 @@
 	writeJSON(ctx, fasthttp.StatusOK, status)
 }
 
-// handleExplain asks the cell of a task, or each cell for a replica.
+// handleExplain queries each cell and returns the explanations found.
 func (e *Entry) handleExplain(ctx *fasthttp.RequestCtx, name string) {
-	limited, cancel := context.WithTimeout(context.Background(), sightTimeout)
+	callContext, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	last := error(fault.New(fault.NotFound, "there is no task %s", name))
-	found := []control.Explanation{}
+	lastErr := error(fault.New(fault.NotFound, "there is no task %s", name))
+	explanations := []control.Explanation{}
 	for _, cell := range e.catalog.CellNames() {
-		explanation, err := callLead[control.ExplainQuery, control.Explanation](limited, e, cell, control.MethodExplain,
+		explanation, err := callLeader[control.ExplainQuery, control.Explanation](callContext, e, cell, control.MethodExplain,
 			control.ExplainQuery{Task: name})
 		if err == nil {
-			found = append(found, explanation)
+			explanations = append(explanations, explanation)
 			continue
 		}
 		if !fault.Is(err, fault.NotFound) {
-			last = err
+			lastErr = err
 		}
 	}
-	if len(found) == 0 {
-		writeError(ctx, last)
+	if len(explanations) == 0 {
+		writeError(ctx, lastErr)
 		return
 	}
-	writeJSON(ctx, fasthttp.StatusOK, found)
+	writeJSON(ctx, fasthttp.StatusOK, explanations)
 }
 
 func (e *Entry) handleTimeline(ctx *fasthttp.RequestCtx) {
 	after, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
-	limited, cancel := context.WithTimeout(context.Background(), sightTimeout)
+	callContext, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	events := e.Recorder.Since(timeline.Stamp(after))
 	for _, cell := range e.catalog.CellNames() {
-		wires, err := callLead[control.TimelineQuery, []timeline.WireEvent](limited, e, cell, control.MethodTimeline,
+		wires, err := callLeader[control.TimelineQuery, []timeline.WireEvent](callContext, e, cell, control.MethodTimeline,
 			control.TimelineQuery{After: after})
 		if err != nil {
 			e.Logger.Debug("no events from cell %s: %v", cell, err)
--- a/internal/entry/requestids.go
+++ b/internal/entry/requestids.go
@@ -7,16 +7,16 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// requestNumbers gives requests identifiers that no other process and no other start of this one gives.
-type requestNumbers struct {
+// requestIDs generates request IDs that are unique across processes and their restarts.
+type requestIDs struct {
 	prefix string
 	last   *atomic.Uint64
 }
 
-func newRequestNumbers(entry string) requestNumbers {
-	return requestNumbers{prefix: entry + "-" + ulid.Make().String() + "-", last: &atomic.Uint64{}}
+func newRequestIDs(entry string) requestIDs {
+	return requestIDs{prefix: entry + "-" + ulid.Make().String() + "-", last: &atomic.Uint64{}}
 }
 
-func (n requestNumbers) next() string {
+func (n requestIDs) next() string {
 	return n.prefix + strconv.FormatUint(n.last.Add(1), 36)
 }
--- a/internal/entry/requestpath_test.go
+++ b/internal/entry/requestpath_test.go
@@ -30,8 +30,8 @@
 	return listener.Addr().String()
 }
 
-// newPath returns an entry whose requests go through a gate to an endpoint that echoes.
-func newPath(tb testing.TB) *Entry {
+// newEchoEntry returns an entry whose requests pass through a gate to an endpoint that echoes the body.
+func newEchoEntry(tb testing.TB) *Entry {
 	tb.Helper()
 	endpoint := serve(tb, func(ctx *fasthttp.RequestCtx) { ctx.SetBody(ctx.Request.Body()) })
 	clock := timeline.NewClock(time.Now)
@@ -45,7 +45,7 @@
 	assert.NilError(tb, err)
 	applied, err := table.Table{}.Apply(table.NewEdit(0, rows, "x", "x"), time.Now())
 	assert.NilError(tb, err)
-	e.rows.Set(store.Version(1), applied)
+	e.tableDocument.Set(store.Version(1), applied)
 	e.catalog.SetPeer("h-0", nil)
 	e.catalog.Update(control.Summary{Cell: "h-0", Position: control.Position{Epoch: 1}, Endpoints: []control.Endpoint{
 		{Service: "lookups", Instance: "vm", Boot: "boot", Address: serve(tb, g.Handle), Hall: "h", Slots: 64},
@@ -54,7 +54,7 @@
 }
 
 func BenchmarkRequestPath(b *testing.B) {
-	e := newPath(b)
+	e := newEchoEntry(b)
 	b.ReportAllocs()
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
@@ -75,10 +75,10 @@
 }
 
 func TestBodyOverTheLimitIsRefusedAsJSON(t *testing.T) {
-	e := newPath(t)
+	e := newEchoEntry(t)
 	address := serve(t, e.HandleCallers)
-	// The server answers on the length alone and closes, so a client that first writes the whole body may be reset
-	// before it reads; this one reads after the header.
+	// The server responds to the Content-Length alone and closes the connection, so a client that first writes the whole
+	// body may be reset before it reads the response; this client reads right after the header.
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, connection.Close()) }()
@@ -90,8 +90,8 @@
 	assert.Assert(t, strings.Contains(string(response.Body()), `"kind":"too_large"`))
 }
 
-func TestRequestComesBackWhole(t *testing.T) {
-	e := newPath(t)
+func TestBodyIsEchoedUnchanged(t *testing.T) {
+	e := newEchoEntry(t)
 	for _, body := range []string{"", "x", string(make([]byte, 1<<20-1))} {
 		ctx := &fasthttp.RequestCtx{}
 		ctx.Request.Header.SetMethod(fasthttp.MethodPost)
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -20,50 +20,50 @@
 )
 
 const (
-	maxTries      = 8
-	settleTimeout = time.Second
-	noEndpoint    = time.Second
+	maxTries             = 8
+	outcomeTimeout       = time.Second
+	noEndpointRetryAfter = time.Second
 )
 
-// route sends a request to one endpoint after another until one answers or nothing more may be tried.
+// route sends a request to one endpoint after another until one answers or no further attempt is allowed.
 func (e *Entry) route(r *request) (*idempotency.Answer, error) {
 	row, _ := e.table().Row(r.service)
 	e.countRequest(r.service, row.RetryBudget())
 	var tried [maxTries]*catalog.Endpoint
-	var last error
-	for n := range maxTries {
+	var lastErr error
+	for attempt := range maxTries {
 		if time.Until(r.deadline) <= 0 {
 			break
 		}
-		endpoint := e.pick(r.service, tried[:n])
+		endpoint := e.pick(r.service, tried[:attempt])
 		if endpoint == nil {
 			break
 		}
-		tried[n] = endpoint
-		answer, err := e.try(endpoint, r, n)
+		tried[attempt] = endpoint
+		answer, err := e.try(endpoint, r, attempt)
 		if err == nil {
 			return answer, nil
 		}
-		last = err
-		if !e.mayRetry(endpoint, r, n, err) {
+		lastErr = err
+		if !e.mayRetry(endpoint, r, attempt, err) {
 			return nil, err
 		}
 	}
-	return nil, givenUp(r, last)
+	return nil, finalError(r, lastErr)
 }
 
-// givenUp is the answer to a request that nothing more can be tried for.
-func givenUp(r *request, last error) error {
-	if last != nil && fault.KindOf(last) != fault.Stale {
-		return last
+// finalError returns the error of a request that cannot be tried again.
+func finalError(r *request, lastErr error) error {
+	if lastErr != nil && fault.KindOf(lastErr) != fault.Stale {
+		return lastErr
 	}
 	if time.Until(r.deadline) <= 0 {
-		return fault.New(fault.DeadlineExceeded, "no endpoint of %s took the request before its deadline", r.service)
+		return fault.New(fault.DeadlineExceeded, "no endpoint of %s accepted the request before its deadline", r.service)
 	}
-	return fault.New(fault.Unavailable, "%s has no endpoint for now", r.service).WithRetryAfter(noEndpoint)
+	return fault.New(fault.Unavailable, "%s has no endpoint at the moment", r.service).WithRetryAfter(noEndpointRetryAfter)
 }
 
-// pick chooses an endpoint that was not tried yet; where all are closed, one on probation is better than none.
+// pick chooses an endpoint that was not tried yet; if all are closed, it falls back to one on probation.
 func (e *Entry) pick(service string, tried []*catalog.Endpoint) *catalog.Endpoint {
 	endpoints := e.catalog.Endpoints(service)
 	random := rand.Uint64()
@@ -86,8 +86,8 @@
 	}, random)
 }
 
-// mayRetry decides whether a request may be sent to another endpoint after an error.
-func (e *Entry) mayRetry(endpoint *catalog.Endpoint, r *request, n int, err error) bool {
+// mayRetry records a failure at its endpoint and reports whether the request may be sent to another one.
+func (e *Entry) mayRetry(endpoint *catalog.Endpoint, r *request, attempt int, err error) bool {
 	switch fault.KindOf(err) {
 	case fault.Leaving:
 		endpoint.Leave()
@@ -95,14 +95,14 @@
 	case fault.Stale:
 		return true
 	case fault.Unavailable:
-		e.noteFailure(endpoint, r)
+		e.recordEndpointFailure(endpoint, r)
 		return true
 	case fault.Overloaded:
 		return e.spendRetry(r.service)
 	case fault.OutcomeUnknown:
-		e.noteFailure(endpoint, r)
+		e.recordEndpointFailure(endpoint, r)
 		if r.once {
-			return e.settle(endpoint, r, n)
+			return e.confirmNotRun(endpoint, r, attempt)
 		}
 		return e.spendRetry(r.service)
 	default:
@@ -110,28 +110,28 @@
 	}
 }
 
-func (e *Entry) noteFailure(endpoint *catalog.Endpoint, r *request) {
+func (e *Entry) recordEndpointFailure(endpoint *catalog.Endpoint, r *request) {
 	if endpoint.Fail() {
 		e.Recorder.Record(timeline.EndpointEjected,
 			timeline.Subject{Worker: endpoint.Instance(), Request: r.id}, "the endpoint failed several requests in a row")
 	}
 }
 
-func exchangeID(r *request, n int) string { return r.id + "." + strconv.Itoa(n) }
+func exchangeID(r *request, attempt int) string { return r.id + "." + strconv.Itoa(attempt) }
 
-// try sends a request to one endpoint.
-func (e *Entry) try(endpoint *catalog.Endpoint, r *request, n int) (*idempotency.Answer, error) {
-	out, in := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(out)
-	defer fasthttp.ReleaseResponse(in)
-	exchange := exchangeID(r, n)
-	e.fill(out, endpoint, r, exchange)
+// try sends a request to one endpoint and reads its answer.
+func (e *Entry) try(endpoint *catalog.Endpoint, r *request, attempt int) (*idempotency.Answer, error) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	exchange := exchangeID(r, attempt)
+	e.fill(req, endpoint, r, exchange)
 	endpoint.Begin()
-	err := endpoint.Client().DoDeadline(out, in, r.deadline)
+	err := endpoint.Client().DoDeadline(req, resp, r.deadline)
 	endpoint.End()
 	switch {
 	case err == nil:
-		return e.readAnswer(endpoint, in, exchange)
+		return e.readAnswer(endpoint, resp, exchange)
 	case httpclient.NotSent(err):
 		return nil, fault.Wrap(err, fault.Unavailable, "the agent cannot be reached")
 	default:
@@ -139,9 +139,9 @@
 	}
 }
 
-func (e *Entry) fill(out *fasthttp.Request, endpoint *catalog.Endpoint, r *request, exchange string) {
-	out.SetRequestURI("http://" + endpoint.Address() + control.PathRequest)
-	header := &out.Header
+func (e *Entry) fill(req *fasthttp.Request, endpoint *catalog.Endpoint, r *request, exchange string) {
+	req.SetRequestURI("http://" + endpoint.Address() + control.PathRequest)
+	header := &req.Header
 	header.SetMethod(fasthttp.MethodPost)
 	header.SetContentType(r.contentType)
 	header.Set(control.HeaderSecret, e.Secret)
@@ -154,16 +154,16 @@
 		header.Set(control.HeaderBoot, endpoint.Boot())
 	}
 	if r.once && r.key != "" {
-		header.Set(control.HeaderKey, r.keyed())
+		header.Set(control.HeaderKey, r.storedKey())
 		header.Set(control.HeaderSlot, strconv.Itoa(r.slot))
 		header.Set(control.HeaderEpoch, strconv.FormatUint(r.epoch, 10))
 	}
-	out.SetBodyRaw(r.body)
+	req.SetBodyRaw(r.body)
 }
 
-// readAnswer takes an answer only if it is whole and of this exchange.
-func (e *Entry) readAnswer(endpoint *catalog.Endpoint, in *fasthttp.Response, exchange string) (*idempotency.Answer, error) {
-	header := &in.Header
+// readAnswer returns the answer only if it is complete and belongs to this exchange.
+func (e *Entry) readAnswer(endpoint *catalog.Endpoint, resp *fasthttp.Response, exchange string) (*idempotency.Answer, error) {
+	header := &resp.Header
 	if string(header.Peek(control.HeaderExchange)) != exchange {
 		return nil, fault.New(fault.OutcomeUnknown, "the agent answered another request")
 	}
@@ -171,44 +171,44 @@
 		endpoint.Leave()
 	}
 	if kind := header.Peek(control.HeaderKind); len(kind) > 0 {
-		return nil, readRefusal(in, string(kind))
+		return nil, readRefusal(resp, string(kind))
 	}
-	if string(header.Peek(control.HeaderDigest)) != gate.Digest(in.Body()) {
-		return nil, fault.New(fault.OutcomeUnknown, "the agent's answer is not whole")
+	if string(header.Peek(control.HeaderDigest)) != gate.Digest(resp.Body()) {
+		return nil, fault.New(fault.OutcomeUnknown, "the agent's answer is incomplete")
 	}
 	if load, err := strconv.Atoi(string(header.Peek(control.HeaderLoad))); err == nil {
 		endpoint.SetReportedLoad(load)
 	}
 	endpoint.Succeed()
-	body := append([]byte(nil), in.Body()...)
-	return idempotency.NewAnswer(in.StatusCode(), string(header.ContentType()), body), nil
+	body := append([]byte(nil), resp.Body()...)
+	return idempotency.NewAnswer(resp.StatusCode(), string(header.ContentType()), body), nil
 }
 
-func readRefusal(in *fasthttp.Response, kind string) error {
-	refusal := fault.New(fault.ParseKind(kind), "%s", in.Body())
-	if millis, err := strconv.Atoi(string(in.Header.Peek(control.HeaderRetryAfter))); err == nil {
+func readRefusal(resp *fasthttp.Response, kind string) error {
+	refusal := fault.New(fault.ParseKind(kind), "%s", resp.Body())
+	if millis, err := strconv.Atoi(string(resp.Header.Peek(control.HeaderRetryAfter))); err == nil {
 		return refusal.WithRetryAfter(time.Duration(millis) * time.Millisecond)
 	}
 	return refusal
 }
 
-// settle asks the agent about a request whose answer was lost, and reports whether it surely did not and will not run.
-func (e *Entry) settle(endpoint *catalog.Endpoint, r *request, n int) bool {
-	out, in := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(out)
-	defer fasthttp.ReleaseResponse(in)
-	out.SetRequestURI("http://" + endpoint.Address() + control.PathOutcome)
-	out.Header.SetMethod(fasthttp.MethodPost)
-	out.Header.Set(control.HeaderSecret, e.Secret)
-	out.Header.Set(control.HeaderExchange, exchangeID(r, n))
-	out.Header.Set(control.HeaderBoot, endpoint.Boot())
-	end := time.Now().Add(settleTimeout)
+// confirmNotRun queries the agent about a request whose answer was lost, and reports whether it has not run and never will.
+func (e *Entry) confirmNotRun(endpoint *catalog.Endpoint, r *request, attempt int) bool {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI("http://" + endpoint.Address() + control.PathOutcome)
+	req.Header.SetMethod(fasthttp.MethodPost)
+	req.Header.Set(control.HeaderSecret, e.Secret)
+	req.Header.Set(control.HeaderExchange, exchangeID(r, attempt))
+	req.Header.Set(control.HeaderBoot, endpoint.Boot())
+	end := time.Now().Add(outcomeTimeout)
 	if r.deadline.Before(end) {
 		end = r.deadline
 	}
-	if err := endpoint.Client().DoDeadline(out, in, end); err != nil {
+	if err := endpoint.Client().DoDeadline(req, resp, end); err != nil {
 		return false
 	}
 	var answer control.OutcomeAnswer
-	return json.Unmarshal(in.Body(), &answer) == nil && answer.Ran == string(fault.RanNo)
+	return json.Unmarshal(resp.Body(), &answer) == nil && answer.Ran == string(fault.RanNo)
 }
--- a/internal/gate/exchanges_test.go
+++ b/internal/gate/exchanges_test.go
@@ -9,9 +9,9 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-func TestLetIn(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	cases := []struct {
 		name  string
 		do    func(x *exchanges)
@@ -19,17 +19,17 @@
 		want  fault.Kind
 	}{
 		{"new", func(*exchanges) {}, 1, -1},
-		{"again", func(x *exchanges) { _ = x.letIn("id", "key", 3, 1, start) }, 1, fault.OutcomeUnknown},
-		{"barred before it came", func(x *exchanges) { x.settle("id", start) }, 1, fault.Stale},
-		{"withdrawn", func(x *exchanges) { _ = x.letIn("id", "key", 3, 1, start); x.withdraw("id", start) }, 1, fault.Stale},
-		{"of an earlier owner", func(x *exchanges) { x.seal(3, 2) }, 1, fault.Stale},
-		{"of the new owner", func(x *exchanges) { x.seal(3, 2) }, 2, -1},
+		{"again", func(x *exchanges) { _ = x.admit("id", "key", 3, 1, startTime) }, 1, fault.OutcomeUnknown},
+		{"barred before it arrived", func(x *exchanges) { x.confirmNotRun("id", startTime) }, 1, fault.Stale},
+		{"withdrawn", func(x *exchanges) { _ = x.admit("id", "key", 3, 1, startTime); x.withdraw("id", startTime) }, 1, fault.Stale},
+		{"by an earlier owner", func(x *exchanges) { x.seal(3, 2) }, 1, fault.Stale},
+		{"by the new owner", func(x *exchanges) { x.seal(3, 2) }, 2, -1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			x := newExchanges()
 			c.do(x)
-			err := x.letIn("id", "key", 3, c.epoch, start)
+			err := x.admit("id", "key", 3, c.epoch, startTime)
 			if c.want < 0 {
 				assert.NilError(t, err)
 				return
@@ -39,26 +39,26 @@
 	}
 }
 
-func TestSettleSaysNoOnlyOfWhatNeverRuns(t *testing.T) {
+func TestConfirmNotRunHoldsOnlyForRequestsThatNeverRun(t *testing.T) {
 	x := newExchanges()
-	assert.NilError(t, x.letIn("ran", "", 0, 0, start))
-	assert.Assert(t, !x.settle("ran", start))
-	assert.Assert(t, x.settle("never", start))
-	assert.Assert(t, x.settle("never", start))
+	assert.NilError(t, x.admit("ran", "", 0, 0, startTime))
+	assert.Assert(t, !x.confirmNotRun("ran", startTime))
+	assert.Assert(t, x.confirmNotRun("never", startTime))
+	assert.Assert(t, x.confirmNotRun("never", startTime))
 }
 
-func TestSealNamesWhatRan(t *testing.T) {
+func TestSealReturnsAdmittedKeys(t *testing.T) {
 	x := newExchanges()
-	assert.NilError(t, x.letIn("a", "key-a", 3, 1, start))
-	assert.NilError(t, x.letIn("b", "key-b", 4, 1, start))
-	assert.NilError(t, x.letIn("c", "key-c", 3, 1, start))
-	x.withdraw("c", start)
+	assert.NilError(t, x.admit("a", "key-a", 3, 1, startTime))
+	assert.NilError(t, x.admit("b", "key-b", 4, 1, startTime))
+	assert.NilError(t, x.admit("c", "key-c", 3, 1, startTime))
+	x.withdraw("c", startTime)
 	assert.DeepEqual(t, x.seal(3, 2), []string{"key-a"})
 }
 
-func TestExchangesAreForgotten(t *testing.T) {
+func TestExchangesExpire(t *testing.T) {
 	x := newExchanges()
-	assert.NilError(t, x.letIn("a", "", 0, 0, start))
-	assert.NilError(t, x.letIn("b", "", 0, 0, start.Add(Retention)))
-	assert.Equal(t, len(x.known), 1)
+	assert.NilError(t, x.admit("a", "", 0, 0, startTime))
+	assert.NilError(t, x.admit("b", "", 0, 0, startTime.Add(Retention)))
+	assert.Equal(t, len(x.byID), 1)
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -10,7 +10,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// Config is what a gate needs of its process.
+// Config holds the settings and dependencies of a gate.
 type Config struct {
 	Secret string
 	Boot   string
@@ -20,11 +20,11 @@
 // Gate admits requests to the local replicas.
 type Gate struct {
 	Config
-	exchanges *exchanges
-	started   time.Time
-	leaving   atomic.Bool
-	fresh     atomic.Bool
-	open      atomic.Int64
+	exchanges      *exchanges
+	startedAt      time.Time
+	leaving        atomic.Bool
+	noEarlierStart atomic.Bool
+	inFlight       atomic.Int64
 
 	mu       sync.RWMutex
 	replicas map[string]*replica
@@ -33,7 +33,7 @@
 // New returns a gate with no replicas.
 func New(config Config) *Gate {
 	return &Gate{
-		Config: config, exchanges: newExchanges(), started: time.Now(),
+		Config: config, exchanges: newExchanges(), startedAt: time.Now(),
 		replicas: make(map[string]*replica),
 	}
 }
@@ -47,24 +47,24 @@
 	Target  time.Duration
 }
 
-// SetReplicas brings the gate to the replicas that run; requests in flight at others go on.
+// SetReplicas replaces the set of local replicas; requests in flight at removed replicas continue.
 func (g *Gate) SetReplicas(wanted []Replica) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	kept := make(map[string]*replica, len(wanted))
+	replicas := make(map[string]*replica, len(wanted))
 	for _, w := range wanted {
 		old, ok := g.replicas[w.Service]
 		if ok && old.address == w.Address {
 			old.configure(w.Slots, w.Queue, w.Target)
-			kept[w.Service] = old
+			replicas[w.Service] = old
 			continue
 		}
-		kept[w.Service] = newReplica(w.Service, w.Address, w.Slots, w.Queue, w.Target)
+		replicas[w.Service] = newReplica(w.Service, w.Address, w.Slots, w.Queue, w.Target)
 	}
-	g.replicas = kept
+	g.replicas = replicas
 }
 
-// Drain makes the replica of a service refuse new requests, and returns how many it still has in flight.
+// Drain makes the replica of a service reject new requests and returns the number of its requests in flight.
 func (g *Gate) Drain(service string) int {
 	r, ok := g.replica(service)
 	if !ok {
@@ -76,19 +76,19 @@
 	return r.inFlight()
 }
 
-// SetFresh takes note that no earlier start of the agent served on the VM.
-func (g *Gate) SetFresh() { g.fresh.Store(true) }
+// SetFresh marks that no earlier incarnation of the agent served on the VM.
+func (g *Gate) SetFresh() { g.noEarlierStart.Store(true) }
 
-// Leave makes the gate refuse all new requests.
+// Leave makes the gate reject all new requests.
 func (g *Gate) Leave() { g.leaving.Store(true) }
 
 // Resume makes the gate admit requests again.
 func (g *Gate) Resume() { g.leaving.Store(false) }
 
-// Open returns how many requests the gate has in hand.
-func (g *Gate) Open() int64 { return g.open.Load() }
+// Open returns the number of requests that the gate is handling.
+func (g *Gate) Open() int64 { return g.inFlight.Load() }
 
-// Measure returns how each replica did since the last call.
+// Measure returns the measurements of each replica since the previous call.
 func (g *Gate) Measure() []Measurement {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -106,7 +106,7 @@
 	return r, ok
 }
 
-// enter finds the replica of a service and waits for its slot.
+// enter waits for a slot of the replica of a service.
 func (g *Gate) enter(ctx context.Context, service string, deadline time.Time) (*replica, error) {
 	if g.leaving.Load() {
 		return nil, fault.New(fault.Leaving, "the agent is leaving")
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -26,11 +26,11 @@
 	}
 	switch string(ctx.Path()) {
 	case control.PathRequest:
-		g.open.Add(1)
-		defer g.open.Add(-1)
+		g.inFlight.Add(1)
+		defer g.inFlight.Add(-1)
 		g.handleRequest(ctx)
 	case control.PathOutcome:
-		g.handleSettle(ctx)
+		g.handleOutcome(ctx)
 	case control.PathSeal:
 		g.handleSeal(ctx)
 	default:
@@ -38,7 +38,7 @@
 	}
 }
 
-// call is a request as an entry sent it.
+// call holds the headers of a request from an entry.
 type call struct {
 	exchange string
 	service  string
@@ -63,7 +63,7 @@
 		deadline: time.Now().Add(time.Duration(millis) * time.Millisecond),
 	}
 	if c.exchange == "" || c.service == "" {
-		return call{}, fault.New(fault.BadInput, "the request has no exchange or no service")
+		return call{}, fault.New(fault.BadInput, "the request has no exchange ID or no service")
 	}
 	if string(header.Peek(control.HeaderDigest)) != Digest(request.Body()) {
 		return call{}, fault.New(fault.BadInput, "the body does not match its digest")
@@ -81,7 +81,7 @@
 	return c, nil
 }
 
-// Digest returns the digest of a body as headers carry it.
+// Digest returns the digest of a body in the form that headers use.
 func Digest(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
@@ -93,12 +93,12 @@
 		return
 	}
 	if boot := ctx.Request.Header.Peek(control.HeaderBoot); c.once && string(boot) != g.Boot {
-		g.refuse(ctx, fault.New(fault.Stale, "the agent was started anew"))
+		g.refuse(ctx, fault.New(fault.Stale, "the agent has restarted"))
 		return
 	}
-	arrived := time.Now()
+	arrivedAt := time.Now()
 	if c.once {
-		if err := g.exchanges.letIn(c.exchange, c.key, c.slot, c.epoch, arrived); err != nil {
+		if err := g.exchanges.admit(c.exchange, c.key, c.slot, c.epoch, arrivedAt); err != nil {
 			g.refuse(ctx, err)
 			return
 		}
@@ -111,12 +111,12 @@
 		g.refuse(ctx, err)
 		return
 	}
-	g.run(ctx, c, r, arrived)
+	g.run(ctx, c, r, arrivedAt)
 }
 
-// run passes the request to the endpoint; from here on only the endpoint knows whether it ran.
-func (g *Gate) run(ctx *fasthttp.RequestCtx, c call, r *replica, arrived time.Time) {
-	began := time.Now()
+// run forwards the request to the endpoint; once it is sent, the outcome is unknown unless the endpoint answers.
+func (g *Gate) run(ctx *fasthttp.RequestCtx, c call, r *replica, arrivedAt time.Time) {
+	startedAt := time.Now()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -126,8 +126,8 @@
 	request.Header.Set(control.HeaderExchange, c.exchange)
 	request.SetBodyRaw(ctx.Request.Body())
 	err := r.client.DoDeadline(request, response, c.deadline)
-	ended := time.Now()
-	r.exit(ended.Sub(began), ended.Sub(arrived))
+	endedAt := time.Now()
+	r.exit(endedAt.Sub(startedAt), endedAt.Sub(arrivedAt))
 	switch {
 	case err == nil && answersOther(response, c.exchange):
 		g.refuse(ctx, fault.New(fault.OutcomeUnknown, "the endpoint answered another request"))
@@ -135,7 +135,7 @@
 		g.answer(ctx, c, r, response)
 	case httpclient.NotSent(err):
 		if c.once {
-			g.exchanges.withdraw(c.exchange, ended)
+			g.exchanges.withdraw(c.exchange, endedAt)
 		}
 		g.refuse(ctx, fault.Wrap(err, fault.Unavailable, "the endpoint of "+r.service+" cannot be reached"))
 	default:
@@ -143,10 +143,10 @@
 	}
 }
 
-// answersOther reports whether the endpoint names another request; an endpoint need not name any.
+// answersOther reports whether the response carries the ID of another exchange; the ID is optional.
 func answersOther(response *fasthttp.Response, exchange string) bool {
-	named := response.Header.Peek(control.HeaderExchange)
-	return len(named) > 0 && string(named) != exchange
+	answered := response.Header.Peek(control.HeaderExchange)
+	return len(answered) > 0 && string(answered) != exchange
 }
 
 func (g *Gate) answer(ctx *fasthttp.RequestCtx, c call, r *replica, response *fasthttp.Response) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// refuse answers with an error kind, so that the entry knows whether anything ran.
+// refuse writes an error response with the error kind, from which the entry derives whether the request ran.
 func (g *Gate) refuse(ctx *fasthttp.RequestCtx, err error) {
 	kind := fault.KindOf(err)
 	ctx.SetStatusCode(kind.Answer().Status())
@@ -178,10 +178,10 @@
 	ctx.SetBodyString(err.Error())
 }
 
-func (g *Gate) handleSettle(ctx *fasthttp.RequestCtx) {
+func (g *Gate) handleOutcome(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(control.HeaderExchange))
 	answer := control.OutcomeAnswer{Ran: string(fault.RanUnknown)}
-	if string(ctx.Request.Header.Peek(control.HeaderBoot)) == g.Boot && g.exchanges.settle(id, time.Now()) {
+	if string(ctx.Request.Header.Peek(control.HeaderBoot)) == g.Boot && g.exchanges.confirmNotRun(id, time.Now()) {
 		answer.Ran = string(fault.RanNo)
 	}
 	writeJSON(ctx, answer)
@@ -193,7 +193,7 @@
 		g.refuse(ctx, fault.New(fault.BadInput, "the slots cannot be read"))
 		return
 	}
-	answer := control.SealAnswer{Boot: g.Boot, UptimeMillis: time.Since(g.started).Milliseconds(), NoEarlierStart: g.fresh.Load()}
+	answer := control.SealAnswer{Boot: g.Boot, UptimeMillis: time.Since(g.startedAt).Milliseconds(), NoEarlierStart: g.noEarlierStart.Load()}
 	for i, slot := range seal.Slots {
 		answer.Keys = append(answer.Keys, g.exchanges.seal(slot, seal.Epochs[i])...)
 	}
--- a/internal/gate/handler_test.go
+++ b/internal/gate/handler_test.go
@@ -12,8 +12,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-func TestHandleRefusesWhatIsNotWhole(t *testing.T) {
-	whole := map[string]string{
+func TestHandleRefusesInvalidRequests(t *testing.T) {
+	validHeaders := map[string]string{
 		control.HeaderSecret: "secret", control.HeaderExchange: "x", control.HeaderService: "lookups",
 		control.HeaderDeadline: "1000", control.HeaderDigest: Digest([]byte("body")),
 	}
@@ -21,19 +21,19 @@
 		name, header, value string
 		want                fault.Kind
 	}{
-		{"whole, but no replica", "X-Other", "", fault.Stale},
+		{"valid, but no replica", "X-Other", "", fault.Stale},
 		{"another secret", control.HeaderSecret, "other", fault.Unauthorized},
 		{"no exchange", control.HeaderExchange, "", fault.BadInput},
 		{"no deadline", control.HeaderDeadline, "soon", fault.BadInput},
-		{"a body cut short", control.HeaderDigest, "0", fault.BadInput},
+		{"a truncated body", control.HeaderDigest, "0", fault.BadInput},
 		{"a key without its slot", control.HeaderKey, "k", fault.BadInput},
-		{"once, for an earlier start", control.HeaderOnce, "yes", fault.Stale},
+		{"once, for an earlier incarnation", control.HeaderOnce, "yes", fault.Stale},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := New(Config{Secret: "secret", Boot: "boot", Clock: timeline.NewClock(time.Now)})
 			ctx := &fasthttp.RequestCtx{}
-			for name, value := range whole {
+			for name, value := range validHeaders {
 				ctx.Request.Header.Set(name, value)
 			}
 			ctx.Request.Header.Set(c.header, c.value)
--- a/internal/gate/replica.go
+++ b/internal/gate/replica.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	longestLatency = int64(10 * time.Minute / time.Microsecond)
-	endpointWait   = 10 * time.Minute
-	// endpointIdle is how long a connection is kept: an endpoint that closes one while a request is sent leaves doubt.
+	maxLatency      = int64(10 * time.Minute / time.Microsecond)
+	endpointTimeout = 10 * time.Minute
+	// endpointIdle is how long an idle connection is kept; if the endpoint closes one while a request is sent, its
+	// outcome is unknown.
 	endpointIdle = time.Second
 )
 
@@ -27,25 +28,25 @@
 	address string
 	client  *fasthttp.HostClient
 
-	mu      sync.Mutex
-	limiter *admission.Limiter
-	target  time.Duration
-	queue   []chan struct{}
-	leaving bool
-	window  *hdrhistogram.Histogram
-	load    float64
-	offers  int64
-	ran     time.Duration
+	mu         sync.Mutex
+	limiter    *admission.Limiter
+	target     time.Duration
+	queue      []chan struct{}
+	leaving    bool
+	latencies  *hdrhistogram.Histogram
+	loadSum    float64
+	offerCount int64
+	runTimeSum time.Duration
 }
 
 func newReplica(service, address string, slots, queue int, target time.Duration) *replica {
-	client := httpclient.New(address, endpointWait)
+	client := httpclient.New(address, endpointTimeout)
 	client.MaxIdleConnDuration = endpointIdle
 	return &replica{
 		service: service, address: address, target: target,
-		client:  client,
-		limiter: admission.NewLimiter(slots, queue, target),
-		window:  hdrhistogram.New(1, longestLatency, 2),
+		client:    client,
+		limiter:   admission.NewLimiter(slots, queue, target),
+		latencies: hdrhistogram.New(1, maxLatency, 2),
 	}
 }
 
@@ -56,14 +57,14 @@
 	r.target = target
 }
 
-// inFlight is the requests that run or wait.
+// inFlight returns the number of requests that run or wait.
 func (r *replica) inFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.limiter.Running() + r.limiter.Waiting()
 }
 
-// enter waits for a slot until the deadline; a refusal tells when to return, and nothing ran.
+// enter waits for a slot until the deadline; an error means that nothing ran, and may carry a retry delay.
 func (r *replica) enter(ctx context.Context, deadline time.Time) error {
 	r.mu.Lock()
 	if r.leaving {
@@ -71,8 +72,8 @@
 		return fault.New(fault.Leaving, "the replica of %s is leaving", r.service)
 	}
 	decision := r.limiter.Offer(time.Until(deadline))
-	r.offers++
-	r.load += r.limiter.Load()
+	r.offerCount++
+	r.loadSum += r.limiter.Load()
 	switch decision {
 	case admission.Run:
 		r.mu.Unlock()
@@ -107,23 +108,23 @@
 				WithRetryAfter(r.limiter.RetryAfter(rand.Float64()))
 		}
 	}
-	// The turn came at the same moment; it is given to the next.
+	// The slot was granted at the same moment; it passes to the next request.
 	r.limiter.Release()
 	r.promote()
 	return fault.New(fault.DeadlineExceeded, "the request waited for %s until its deadline", r.service)
 }
 
-// exit frees the slot of a request that ran, and takes note of how long it took with and without its wait.
-func (r *replica) exit(ran, latency time.Duration) {
+// exit frees the slot of a request that ran, and records its run time and its latency, which includes the wait for the slot.
+func (r *replica) exit(runTime, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limiter.Finish(ran)
-	r.ran += ran
-	_ = r.window.RecordValue(min(max(latency.Microseconds(), 1), longestLatency))
+	r.limiter.Finish(runTime)
+	r.runTimeSum += runTime
+	_ = r.latencies.RecordValue(min(max(latency.Microseconds(), 1), maxLatency))
 	r.promote()
 }
 
-// promote lets waiting requests run while there is room; r.mu is held.
+// promote grants free slots to waiting requests; r.mu must be held.
 func (r *replica) promote() {
 	for len(r.queue) > 0 && r.limiter.Promote() {
 		close(r.queue[0])
@@ -131,44 +132,44 @@
 	}
 }
 
-// Measurement is how a replica did since it was last measured.
+// Measurement summarizes the requests of a replica since the previous measurement.
 type Measurement struct {
-	service string
-	ratio   float64
-	load    float64
-	run     time.Duration
-	samples int64
+	service      string
+	latencyRatio float64
+	load         float64
+	meanRunTime  time.Duration
+	samples      int64
 }
 
 // Service returns the service.
 func (m Measurement) Service() string { return m.service }
 
-// LatencyRatio returns the latency of 99 of 100 requests as a share of the target.
-func (m Measurement) LatencyRatio() float64 { return m.ratio }
+// LatencyRatio returns the 99th percentile of the latency as a share of the target.
+func (m Measurement) LatencyRatio() float64 { return m.latencyRatio }
 
 // Load returns the mean share, 0 to 1, of the slots in use.
 func (m Measurement) Load() float64 { return m.load }
 
-// MeanRunTime returns how long requests ran at the endpoint on average, without their wait.
-func (m Measurement) MeanRunTime() time.Duration { return m.run }
+// MeanRunTime returns the mean time of requests at the endpoint, without their wait.
+func (m Measurement) MeanRunTime() time.Duration { return m.meanRunTime }
 
-// Samples returns how many requests were measured.
+// Samples returns the number of measured requests.
 func (m Measurement) Samples() int64 { return m.samples }
 
 func (r *replica) measure() Measurement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := Measurement{service: r.service, samples: r.window.TotalCount()}
+	m := Measurement{service: r.service, samples: r.latencies.TotalCount()}
 	if m.samples > 0 {
-		m.run = r.ran / time.Duration(m.samples)
+		m.meanRunTime = r.runTimeSum / time.Duration(m.samples)
 	}
 	if m.samples > 0 && r.target > 0 {
-		m.ratio = float64(r.window.ValueAtQuantile(99)) / float64(r.target.Microseconds())
+		m.latencyRatio = float64(r.latencies.ValueAtQuantile(99)) / float64(r.target.Microseconds())
 	}
-	if r.offers > 0 {
-		m.load = r.load / float64(r.offers)
+	if r.offerCount > 0 {
+		m.load = r.loadSum / float64(r.offerCount)
 	}
-	r.window.Reset()
-	r.load, r.offers, r.ran = 0, 0, 0
+	r.latencies.Reset()
+	r.loadSum, r.offerCount, r.runTimeSum = 0, 0, 0
 	return m
 }
--- a/internal/table/codec.go
+++ b/internal/table/codec.go
@@ -25,10 +25,10 @@
 	After   []byte
 }
 
-// maxValue is the largest value in bytes, below the store's megabyte.
+// maxValue is the maximum size of the encoded table in bytes, below the store's limit of a megabyte.
 const maxValue = 1_000_000
 
-// Encode returns the bytes of the table as the store keeps them; where they would be too many, the oldest edits go.
+// Encode returns the stored form of the table; the oldest edits are dropped while it exceeds maxValue.
 func Encode(t Table) ([]byte, error) {
 	for {
 		value, err := encode(t)
@@ -70,7 +70,7 @@
 	}
 }
 
-// Decode returns the table of a stored value; no bytes are the empty table.
+// Decode returns the table of a stored value; an empty value is the empty table.
 func Decode(value []byte) (Table, error) {
 	if len(value) == 0 {
 		return Table{}, nil
--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -10,10 +10,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// MaxRows is how many rows a table may have, so that the table fits the store's value.
+// MaxRows is the maximum number of rows, so that the encoded table fits a value of the store.
 const MaxRows = 2000
 
-// CellError says what is wrong with one cell.
+// CellError describes an invalid cell.
 type CellError struct {
 	line    int
 	row     string
@@ -22,12 +22,12 @@
 	allowed string
 }
 
-// Error returns the sentence that names row, column, value and what would be right.
+// Error returns a message with the row, the column, the value and the allowed values.
 func (e CellError) Error() string {
 	return fmt.Sprintf("line %d, row %q, column %s: %q is not right; use %s", e.line, e.row, e.column, e.value, e.allowed)
 }
 
-// Parse reads rows from CSV with a heading line, and returns all bad cells at once.
+// Parse reads rows from CSV with a heading line and reports all invalid cells in one error.
 func Parse(text []byte) ([]Row, error) {
 	reader := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))))
 	reader.FieldsPerRecord = -1
@@ -57,7 +57,7 @@
 			return nil, fault.New(fault.BadInput, "line 1: there is no column %q; the columns are %s", cell, columnNames())
 		}
 		if slices.ContainsFunc(heading, func(c Column) bool { return c.name == columns[i].name }) {
-			return nil, fault.New(fault.BadInput, "line 1: column %s stands twice", columns[i].name)
+			return nil, fault.New(fault.BadInput, "line 1: column %s is repeated", columns[i].name)
 		}
 		heading = append(heading, columns[i])
 	}
@@ -77,8 +77,8 @@
 	rows := make([]Row, 0, len(records))
 	for i, record := range records {
 		line := i + 2
-		row, bad := parseRow(heading, record, line)
-		for _, e := range bad {
+		row, invalid := parseRow(heading, record, line)
+		for _, e := range invalid {
 			problems = append(problems, e.Error())
 		}
 		rows = append(rows, row)
@@ -94,11 +94,11 @@
 
 func parseRow(heading []Column, record []string, line int) (Row, []CellError) {
 	var row Row
-	var bad []CellError
+	var invalid []CellError
 	cells := make(map[string]string, len(heading))
 	for i, cell := range record {
 		if i >= len(heading) {
-			bad = append(bad, CellError{line: line, row: cells["workload"], column: "(none)", value: cell, allowed: "no more cells than headings"})
+			invalid = append(invalid, CellError{line: line, row: cells["workload"], column: "(none)", value: cell, allowed: "no more cells than headings"})
 			break
 		}
 		cells[heading[i].name] = strings.TrimSpace(cell)
@@ -106,29 +106,29 @@
 	for _, c := range columns {
 		cell := cells[c.name]
 		if cell == "" {
-			cell = c.fallback
+			cell = c.defaultValue
 		}
 		if cells[c.name] != "" && !slices.Contains(c.kinds, row.kind) {
 			allowed := "nothing in a row of kind " + row.kind.String()
-			bad = append(bad, CellError{line: line, row: cells["workload"], column: c.name, value: cell, allowed: allowed})
+			invalid = append(invalid, CellError{line: line, row: cells["workload"], column: c.name, value: cell, allowed: allowed})
 			continue
 		}
 		if err := c.read(&row, cell); err != nil {
-			bad = append(bad, CellError{line: line, row: cells["workload"], column: c.name, value: cell, allowed: c.allowed})
+			invalid = append(invalid, CellError{line: line, row: cells["workload"], column: c.name, value: cell, allowed: c.allowed})
 		}
 	}
-	return row, bad
+	return row, invalid
 }
 
 func checkRows(rows []Row) []string {
 	var problems []string
-	seen := make(map[string]int, len(rows))
+	lines := make(map[string]int, len(rows))
 	for i, r := range rows {
 		line := i + 2
-		if first, ok := seen[r.workload]; ok {
+		if first, ok := lines[r.workload]; ok {
 			problems = append(problems, fmt.Sprintf("line %d, row %q, column workload: it stands on line %d too; use another name", line, r.workload, first))
 		}
-		seen[r.workload] = line
+		lines[r.workload] = line
 		problems = append(problems, checkRow(r, line)...)
 	}
 	return problems
@@ -148,7 +148,7 @@
 	return problems
 }
 
-// Format writes the rows as CSV with a heading line, in the order of the columns.
+// Format returns the rows as CSV with a heading line, in the order of the columns.
 func Format(rows []Row) []byte {
 	var out bytes.Buffer
 	writer := csv.NewWriter(&out)
--- a/internal/table/doc.go
+++ b/internal/table/doc.go
@@ -1,3 +1,3 @@
 // Package table holds the operators' table: one row a workload or a team, one
-// column a knob, with the checks, merges and history of its edits.
+// column a parameter, with the validation, merging and history of its edits.
 package table
--- a/internal/table/merge.go
+++ b/internal/table/merge.go
@@ -9,7 +9,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Edit is a table that an operator wants, made from a version of it.
+// Edit is a complete table that an operator submits, with the version that it is based on.
 type Edit struct {
 	base    uint64
 	rows    []Row
@@ -17,14 +17,14 @@
 	writeID string
 }
 
-// NewEdit returns an edit that started from a version; the write identifier is never used for another edit.
+// NewEdit returns an edit based on a version; no other edit may have the same write identifier.
 func NewEdit(base uint64, rows []Row, author, writeID string) Edit {
 	return Edit{base: base, rows: rows, author: author, writeID: writeID}
 }
 
-// Apply returns the table with the edit merged in; an edit accepted before changes nothing.
+// Apply returns the table with the edit merged in; an edit that was already accepted changes nothing.
 //
-// Rows changed since the base of the edit are kept; one changed by both is a Conflict.
+// Rows changed since the base of the edit are kept; a row changed by both is a Conflict.
 func (t Table) Apply(e Edit, at time.Time) (Table, error) {
 	if t.accepted(e.writeID) {
 		return t, nil
@@ -34,14 +34,14 @@
 		return t, err
 	}
 	edits := Diff(base, e.rows)
-	if err := t.checkClashes(base, edits); err != nil {
+	if err := t.checkConflicts(base, edits); err != nil {
 		return t, err
 	}
-	edits = t.withoutDone(edits)
+	edits = t.withoutNoOps(edits)
 	if len(edits) == 0 {
 		return t, nil
 	}
-	return t.with(Change{version: t.version + 1, author: e.author, writeID: e.writeID, at: at, edits: edits}), nil
+	return t.withChange(Change{version: t.version + 1, author: e.author, writeID: e.writeID, at: at, edits: edits}), nil
 }
 
 func (t Table) accepted(writeID string) bool {
@@ -73,12 +73,12 @@
 	}
 }
 
-// Diff returns what turns the base into the wanted rows, ordered by workload.
+// Diff returns the edits that turn the base into the wanted rows, ordered by workload.
 func Diff(base map[string]Row, wanted []Row) []RowEdit {
 	var edits []RowEdit
-	kept := rowMap(wanted)
+	wantedRows := rowMap(wanted)
 	for name, r := range base {
-		if _, ok := kept[name]; !ok {
+		if _, ok := wantedRows[name]; !ok {
 			edits = append(edits, RowEdit{before: &r})
 		}
 	}
@@ -95,11 +95,11 @@
 	return edits
 }
 
-// DiffRows returns what turns one set of rows into another, ordered by workload.
+// DiffRows returns the edits that turn one set of rows into another, ordered by workload.
 func DiffRows(base, wanted []Row) []RowEdit { return Diff(rowMap(base), wanted) }
 
-func (t Table) checkClashes(base map[string]Row, edits []RowEdit) error {
-	var clashes []string
+func (t Table) checkConflicts(base map[string]Row, edits []RowEdit) error {
+	var conflicts []string
 	for _, e := range edits {
 		theirs := RowEdit{}
 		if r, ok := base[e.Workload()]; ok {
@@ -111,13 +111,13 @@
 		if sameRow(theirs.before, theirs.after) || sameRow(theirs.after, e.after) {
 			continue
 		}
-		clashes = append(clashes, describeClash(e, theirs))
+		conflicts = append(conflicts, describeConflict(e, theirs))
 	}
-	if len(clashes) == 0 {
+	if len(conflicts) == 0 {
 		return nil
 	}
 	return fault.New(fault.Conflict, "%d rows were changed by another edit since; nothing was changed:\n%s",
-		len(clashes), strings.Join(clashes, "\n"))
+		len(conflicts), strings.Join(conflicts, "\n"))
 }
 
 func sameRow(a, b *Row) bool {
@@ -127,7 +127,7 @@
 	return *a == *b
 }
 
-func describeClash(ours, theirs RowEdit) string {
+func describeConflict(ours, theirs RowEdit) string {
 	if ours.after == nil || theirs.after == nil {
 		return fmt.Sprintf("row %q: removed by one and changed by the other", ours.Workload())
 	}
@@ -140,7 +140,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func (t Table) withoutDone(edits []RowEdit) []RowEdit {
+func (t Table) withoutNoOps(edits []RowEdit) []RowEdit {
 	return slices.DeleteFunc(edits, func(e RowEdit) bool {
 		r, ok := t.Row(e.Workload())
 		if !ok {
@@ -150,7 +150,7 @@
 	})
 }
 
-func (t Table) with(c Change) Table {
+func (t Table) withChange(c Change) Table {
 	rows := rowMap(t.rows)
 	for _, e := range c.edits {
 		if e.after == nil {
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -46,31 +46,31 @@
 // Team returns the team that the workload belongs to.
 func (r Row) Team() string { return r.team }
 
-// Weight returns the share, 1 to 1000, of the workload or the team against others.
+// Weight returns the weight, 1 to 1000, of the workload or the team relative to others.
 func (r Row) Weight() int { return r.weight }
 
 // Size returns the declared size of one task, or the quota of a team in the region; a quota of 0 is no limit.
 func (r Row) Size() resource.Vector { return r.size }
 
-// Replicas returns how many replicas of a service run in the region.
+// Replicas returns the number of replicas of a service in the region.
 func (r Row) Replicas() int { return r.replicas }
 
-// Target returns the latency that 99 of 100 requests to a service are to keep.
+// Target returns the latency target for 99 of 100 requests to a service.
 func (r Row) Target() time.Duration { return r.target }
 
-// Deadline returns how long after its submission a job is to be finished.
+// Deadline returns the deadline of a job, counted from its submission.
 func (r Row) Deadline() time.Duration { return r.deadline }
 
 // Runtime returns the declared run time of one task.
 func (r Row) Runtime() time.Duration { return r.runtime }
 
-// Concurrency returns how many requests a replica runs at once, or how many tasks of a batch workload a cell does.
+// Concurrency returns how many requests a replica runs at once, or how many tasks of a batch workload a cell runs at once.
 func (r Row) Concurrency() int { return r.concurrency }
 
 // Queue returns how many requests may wait at a replica.
 func (r Row) Queue() int { return r.queue }
 
-// RetryBudget returns how many retries, in percent of the requests, entries may send.
+// RetryBudget returns the limit of the retries that entries send, in percent of the requests.
 func (r Row) RetryBudget() int { return r.retryBudget }
 
 // Attempts returns how often a task may fail before its job counts it as failed.
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// HistoryLimit is how many accepted edits a table remembers, and so how old the base of an edit may be.
+// HistoryLimit is the number of accepted edits that a table keeps, which bounds how old the base of an edit may be.
 const HistoryLimit = 64
 
 // Table is a version of the rows together with the edits that led to it.
@@ -25,7 +25,7 @@
 	edits   []RowEdit
 }
 
-// RowEdit is what an edit did to one row; nil stands for no row.
+// RowEdit is the change of one row by an edit; nil stands for an absent row.
 type RowEdit struct {
 	before *Row
 	after  *Row
@@ -34,10 +34,10 @@
 // Version returns the number of the accepted edit, from 1; 0 is the empty table.
 func (t Table) Version() uint64 { return t.version }
 
-// Rows returns the rows ordered by workload; they are not to be changed.
+// Rows returns the rows ordered by workload; they must not be modified.
 func (t Table) Rows() []Row { return t.rows }
 
-// History returns the remembered edits, oldest first.
+// History returns the kept edits, oldest first.
 func (t Table) History() []Change { return t.history }
 
 // Row returns the row of a workload.
@@ -55,13 +55,13 @@
 // Author returns who made the edit.
 func (c Change) Author() string { return c.author }
 
-// WriteID returns the identifier by which a lost answer is settled.
+// WriteID returns the identifier that makes a repeated edit idempotent when its answer was lost.
 func (c Change) WriteID() string { return c.writeID }
 
 // At returns when the edit was accepted, by the clock of the entry.
 func (c Change) At() time.Time { return c.at }
 
-// Edits returns what was done to each row.
+// Edits returns the change of each row.
 func (c Change) Edits() []RowEdit { return c.edits }
 
 // Workload returns the workload of the row.
@@ -78,7 +78,7 @@
 // After returns the row after the edit, nil for a removed one.
 func (e RowEdit) After() *Row { return e.after }
 
-// Cells returns the columns that the edit changed with the cell before and after.
+// Cells returns the cells that the edit changed.
 func (e RowEdit) Cells() []CellEdit {
 	var cells []CellEdit
 	for _, c := range columns {
@@ -96,7 +96,7 @@
 	return cells
 }
 
-// CellEdit is what an edit did to one cell.
+// CellEdit is the change of one cell by an edit.
 type CellEdit struct {
 	column string
 	before string
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -13,13 +13,13 @@
 	"github.com/saffronpulley/saffronpulley/internal/scripttest"
 )
 
-// TestScripts plays the files of testdata: each section is an edit "NAME base=N", or "want" with the table or the
-// refusal that must come of the edit before it.
+// TestScripts runs the files of testdata: a section is an edit "NAME base=N", or the table ("want") or the errors
+// ("refused") expected after the edit before it.
 func TestScripts(t *testing.T) {
-	scripttest.Each(t, play)
+	scripttest.Each(t, runScript)
 }
 
-func play(t *testing.T, archive *txtar.Archive) {
+func runScript(t *testing.T, archive *txtar.Archive) {
 	t.Helper()
 	current := Table{}
 	var last error
@@ -30,10 +30,10 @@
 			var number uint64
 			_, err := fmt.Sscan(base, &number)
 			assert.NilError(t, err)
-			current, last = edit(current, number, name, section.Data)
+			current, last = applyEdit(current, number, name, section.Data)
 		case name == "want":
 			assert.NilError(t, last)
-			assert.Equal(t, shortened(current), string(section.Data))
+			assert.Equal(t, summary(current), string(section.Data))
 		case name == "refused":
 			assert.Assert(t, last != nil, "the edit was accepted")
 			for line := range strings.Lines(string(section.Data)) {
@@ -43,7 +43,7 @@
 	}
 }
 
-func edit(current Table, base uint64, author string, text []byte) (Table, error) {
+func applyEdit(current Table, base uint64, author string, text []byte) (Table, error) {
 	rows, err := Parse(text)
 	if err != nil {
 		return current, err
@@ -51,8 +51,8 @@
 	return current.Apply(NewEdit(base, rows, author, author), time.Unix(1, 0))
 }
 
-// shortened is the version, and of each row the cells that the scripts change.
-func shortened(t Table) string {
+// summary returns the version and, for each row, the cells that the scripts change.
+func summary(t Table) string {
 	out := fmt.Sprintf("version %d\n", t.Version())
 	for _, r := range t.Rows() {
 		out += fmt.Sprintf("%s %s %d %d\n", r.Workload(), r.Kind(), r.Size().Processors(), r.Replicas())
@@ -65,9 +65,9 @@
 	assert.NilError(t, err)
 	once, err := Table{}.Apply(NewEdit(0, rows, "x", "id"), time.Unix(1, 0))
 	assert.NilError(t, err)
-	more, err := Parse([]byte("workload,kind,team,processors,memory_mb\nb,batch,t,1,1\n"))
+	otherRows, err := Parse([]byte("workload,kind,team,processors,memory_mb\nb,batch,t,1,1\n"))
 	assert.NilError(t, err)
-	other, err := once.Apply(NewEdit(1, more, "y", "other"), time.Unix(2, 0))
+	other, err := once.Apply(NewEdit(1, otherRows, "y", "other"), time.Unix(2, 0))
 	assert.NilError(t, err)
 	twice, err := other.Apply(NewEdit(0, rows, "x", "id"), time.Unix(3, 0))
 	assert.NilError(t, err)
@@ -78,23 +78,23 @@
 	current := Table{}
 	for i := range 5 {
 		text := fmt.Sprintf("workload,kind,team,processors,memory_mb,replicas\na,service,t,%d.125,1,%d\nb,batch,t,1,1,\n", i+1, i)
-		next, err := edit(current, current.Version(), fmt.Sprint("edit-", i), []byte(text))
+		next, err := applyEdit(current, current.Version(), fmt.Sprint("edit-", i), []byte(text))
 		assert.NilError(t, err)
 		current = next
 	}
 	value, err := Encode(current)
 	assert.NilError(t, err)
-	back, err := Decode(value)
+	decoded, err := Decode(value)
 	assert.NilError(t, err)
-	assert.Equal(t, shortened(back), shortened(current))
-	old, err := back.rowsAt(2)
+	assert.Equal(t, summary(decoded), summary(current))
+	old, err := decoded.rowsAt(2)
 	assert.NilError(t, err)
 	assert.Equal(t, old["a"].Replicas(), 1)
-	_, err = back.rowsAt(9)
+	_, err = decoded.rowsAt(9)
 	assert.Equal(t, fault.KindOf(err), fault.Conflict)
 }
 
-func TestOldEditsGoWhereTheTableIsLarge(t *testing.T) {
+func TestOldEditsAreDroppedFromLargeTable(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("workload,kind,team,processors,memory_mb\n")
 	for i := range MaxRows {
@@ -103,17 +103,17 @@
 	current := Table{}
 	for i := range 20 {
 		changed := strings.ReplaceAll(text.String(), ",1,1\n", fmt.Sprintf(",%d,1\n", i+1))
-		next, err := edit(current, current.Version(), fmt.Sprint(i), []byte(changed))
+		next, err := applyEdit(current, current.Version(), fmt.Sprint(i), []byte(changed))
 		assert.NilError(t, err)
 		current = next
 	}
 	value, err := Encode(current)
 	assert.NilError(t, err)
 	assert.Assert(t, len(value) <= maxValue)
-	back, err := Decode(value)
+	decoded, err := Decode(value)
 	assert.NilError(t, err)
-	assert.Equal(t, len(back.Rows()), MaxRows)
-	assert.Assert(t, len(back.History()) > 0 && len(back.History()) < 20)
+	assert.Equal(t, len(decoded.Rows()), MaxRows)
+	assert.Assert(t, len(decoded.History()) > 0 && len(decoded.History()) < 20)
 }
 
 func FuzzParse(f *testing.F) {
