--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,21 +14,21 @@
 	"github.com/saffronpulley/saffronpulley/internal/metric"
 )
 
-// Limits bound what a listener takes.
+// Limits bounds the resources that a listener uses.
 type Limits struct {
-	// Body is the largest body in bytes.
+	// Body is the maximum size of a body in bytes.
 	Body int
-	// Read is how long a request may take to arrive, Idle how long a connection may wait for one.
+	// Read is the maximum time to receive a request, Idle that of a connection between requests.
 	Read time.Duration
 	Idle time.Duration
-	// Connections is how many connections are served at once.
+	// Connections is the maximum number of concurrent connections.
 	Connections int
 }
 
 const (
 	maxHeader = 16 << 10
-	// closeWait is how long connections may take to end at a stop.
-	closeWait = 2 * time.Second
+	// closeTimeout bounds the wait for open connections at a stop.
+	closeTimeout = 2 * time.Second
 )
 
 // Server is an HTTP server on one listener.
@@ -39,7 +39,7 @@
 
 // Serve starts to serve on the listener within the limits.
 //
-// Refused answers what the server turns away before the handler sees it: a body that is too large, or no HTTP.
+// refused answers requests that the server rejects before the handler runs: the body is too large, or it is not HTTP.
 func Serve(listener net.Listener, limits Limits, handler fasthttp.RequestHandler,
 	refused func(*fasthttp.RequestCtx, error),
 ) *Server {
@@ -54,7 +54,7 @@
 		Concurrency:           limits.Connections,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		Logger:                quiet{},
+		Logger:                discardLogger{},
 	}}
 	go func() {
 		defer close(s.done)
@@ -66,7 +66,7 @@
 // Done returns the channel that is closed when the server has ended.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Close stops accepting, lets the requests in hand end, and closes the connections.
+// Close stops accepting connections, waits for requests in flight for up to closeTimeout, and closes the connections.
 func (s *Server) Close() {
 	ended := make(chan struct{})
 	go func() {
@@ -75,11 +75,11 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// Listen listens on an address; a failure names the setting that gave it.
+// Listen listens on an address; an error names the setting that holds the address.
 func Listen(address, setting string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: httpclient.Probes()}
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -89,12 +89,12 @@
 	return listener, nil
 }
 
-// RefuseAsText answers what the server turns away with a plain sentence.
+// RefuseAsText answers a request that the server rejects with the error as plain text.
 func RefuseAsText(ctx *fasthttp.RequestCtx, err error) {
 	ctx.Error(err.Error()+"\n", refusalStatus(err))
 }
 
-// IsTooLarge reports whether the server turned a request away since its body is over the limit.
+// IsTooLarge reports whether the server rejected a request because its body exceeds the limit.
 func IsTooLarge(err error) bool { return errors.Is(err, fasthttp.ErrBodyTooLarge) }
 
 func refusalStatus(err error) int {
@@ -113,18 +113,18 @@
 	closing.Wait()
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-// Printf implements fasthttp.Logger; what callers do wrong is answered to them.
-func (quiet) Printf(string, ...any) {}
+// Printf implements fasthttp.Logger; client errors are reported in the response and not logged.
+func (discardLogger) Printf(string, ...any) {}
 
-// Health answers whether the process is live and ready.
+// Health serves the liveness, readiness and metrics of a process.
 type Health struct {
 	Ready   func() bool
 	Metrics *metric.Registry
 }
 
-// Handle serves the health and the metrics, and reports whether the path is one of its.
+// Handle serves the health and the metrics, and reports whether the path belongs to it.
 func (h Health) Handle(ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case "/live":
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -14,7 +14,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 )
 
-const vanishedFor = 30 * time.Minute
+const vanishedRetention = 30 * time.Minute
 
 // Catalog holds the cells and the endpoints of a region.
 type Catalog struct {
@@ -23,11 +23,11 @@
 
 	mu    sync.Mutex
 	cells map[string]*Cell
-	// vanished is when a start of an agent that served was last known.
+	// vanished maps each incarnation of an agent that served to the time at which its endpoints disappeared.
 	vanished map[string]time.Time
 }
 
-// Cell is what is known of a cell.
+// Cell holds the last known state of a cell.
 type Cell struct {
 	name    string
 	peer    *rpc.Peer
@@ -42,7 +42,7 @@
 	return c
 }
 
-// Endpoints returns the endpoints of a service; they are not to be changed.
+// Endpoints returns the endpoints of a service; the slice must not be modified.
 func (c *Catalog) Endpoints(service string) []*Endpoint {
 	return (*c.services.Load())[service]
 }
@@ -60,7 +60,7 @@
 	return counts
 }
 
-// AgentEndpoints returns the endpoints of all services, each agent's address once.
+// AgentEndpoints returns one endpoint for each agent address, over all services.
 func (c *Catalog) AgentEndpoints() []*Endpoint {
 	byAddress := make(map[string]*Endpoint)
 	for _, endpoints := range *c.services.Load() {
@@ -71,7 +71,7 @@
 	return slices.Collect(maps.Values(byAddress))
 }
 
-// SetPeer takes note of the connection to the lead of a cell, nil for none.
+// SetPeer sets the connection to the leader of a cell, nil for none.
 func (c *Catalog) SetPeer(cell string, peer *rpc.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,7 @@
 	known.peer = peer
 }
 
-// RemoveCell forgets a cell that has no VMs any more.
+// RemoveCell removes a cell that has no VMs any more.
 func (c *Catalog) RemoveCell(cell string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 	return control.Position{}
 }
 
-// Update takes over a summary unless a later one is known.
+// Update stores the summary of a cell unless a later one is known.
 func (c *Catalog) Update(s control.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,7 @@
 	c.rebuild()
 }
 
-// UpdateLoad takes over the load of a cell.
+// UpdateLoad stores the load of a cell.
 func (c *Catalog) UpdateLoad(cell string, load control.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,30 +130,30 @@
 	return endpointKey{e.Service, e.Instance, e.Boot, e.Address}
 }
 
-// rebuild makes the lists of endpoints anew and keeps what is known of each; c.mu is held.
+// rebuild recreates the lists of endpoints, keeping the state of endpoints that remain; c.mu must be held.
 func (c *Catalog) rebuild() {
 	old := make(map[endpointKey]*Endpoint)
 	for _, endpoints := range *c.services.Load() {
 		for _, e := range endpoints {
-			old[keyOf(e.about)] = e
+			old[keyOf(e.info)] = e
 		}
 	}
 	services := make(map[string][]*Endpoint)
 	for _, name := range slices.Sorted(maps.Keys(c.cells)) {
-		for _, about := range c.cells[name].summary.Endpoints {
-			e, ok := old[keyOf(about)]
-			if !ok || e.about.Leaving != about.Leaving {
-				e = newEndpoint(about, c.hall)
+		for _, info := range c.cells[name].summary.Endpoints {
+			e, ok := old[keyOf(info)]
+			if !ok || e.info.Leaving != info.Leaving {
+				e = newEndpoint(info, c.hall)
 			}
-			services[about.Service] = append(services[about.Service], e)
+			services[info.Service] = append(services[info.Service], e)
 		}
 	}
-	c.noteVanished(old, services)
+	c.recordVanished(old, services)
 	c.services.Store(&services)
 }
 
-// noteVanished remembers when starts of agents were last known; c.mu is held.
-func (c *Catalog) noteVanished(old map[endpointKey]*Endpoint, services map[string][]*Endpoint) {
+// recordVanished records when incarnations of agents disappeared; c.mu must be held.
+func (c *Catalog) recordVanished(old map[endpointKey]*Endpoint, services map[string][]*Endpoint) {
 	known := make(map[string]struct{})
 	for _, endpoints := range services {
 		for _, e := range endpoints {
@@ -167,13 +167,14 @@
 		}
 	}
 	for boot, at := range c.vanished {
-		if _, back := known[boot]; back || now.Sub(at) > vanishedFor {
+		if _, returned := known[boot]; returned || now.Sub(at) > vanishedRetention {
 			delete(c.vanished, boot)
 		}
 	}
 }
 
-// LastVanished returns when a start of an agent that served was last lost from sight, zero for not of late.
+// LastVanished returns when an incarnation of an agent that served last disappeared, zero if none has within
+// vanishedRetention.
 func (c *Catalog) LastVanished() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +187,7 @@
 	return last
 }
 
-// Refresh opens endpoints whose wait is over.
+// Refresh reopens endpoints whose probation wait has ended.
 func (c *Catalog) Refresh(now time.Time) {
 	for _, endpoints := range *c.services.Load() {
 		for _, e := range endpoints {
@@ -195,7 +196,7 @@
 	}
 }
 
-// Peer returns the connection to the lead of a cell.
+// Peer returns the connection to the leader of a cell.
 func (c *Catalog) Peer(cell string) (*rpc.Peer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,64 +205,64 @@
 		return nil, fault.New(fault.NotFound, "there is no cell %q", cell)
 	}
 	if known.peer == nil {
-		return nil, fault.New(fault.Unavailable, "cell %s has no lead for now", cell)
+		return nil, fault.New(fault.Unavailable, "cell %s has no leader at the moment", cell)
 	}
 	return known.peer, nil
 }
 
-// CellNames returns the cells in order.
+// CellNames returns the names of the cells in order.
 func (c *Catalog) CellNames() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.cells))
 }
 
-// ForJob returns the cells that could run a task of a size, the best first: those with a lead, then those with the
-// largest free share, less what waits.
+// ForJob returns the cells with a leader that could run a task of a size, ordered by their largest free share less a
+// cost for each waiting job.
 func (c *Catalog) ForJob(size resource.Vector) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var able []*Cell
+	var suitable []*Cell
 	for _, cell := range c.cells {
 		if cell.peer == nil || !size.Fits(cell.load.Largest.Decode()) {
 			continue
 		}
-		able = append(able, cell)
+		suitable = append(suitable, cell)
 	}
-	slices.SortFunc(able, func(a, b *Cell) int {
-		return cmp.Or(cmp.Compare(b.roominess(), a.roominess()), cmp.Compare(a.name, b.name))
+	slices.SortFunc(suitable, func(a, b *Cell) int {
+		return cmp.Or(cmp.Compare(b.freeShare(), a.freeShare()), cmp.Compare(a.name, b.name))
 	})
-	names := make([]string, 0, len(able))
-	for _, cell := range able {
+	names := make([]string, 0, len(suitable))
+	for _, cell := range suitable {
 		names = append(names, cell.name)
 	}
 	return names
 }
 
-// waitingCost is which share of a cell's room a waiting job counts for.
-const waitingCost = 0.02
+// waitingJobCost is the share of a cell's capacity that a waiting job counts for.
+const waitingJobCost = 0.02
 
-func (c *Cell) roominess() float64 {
-	return float64(c.load.Free)/float64(max(c.load.Capacity, 1)) - waitingCost*float64(c.load.Waiting)
+func (c *Cell) freeShare() float64 {
+	return float64(c.load.Free)/float64(max(c.load.Capacity, 1)) - waitingJobCost*float64(c.load.Waiting)
 }
 
-// HasLeaders reports whether each known cell has a lead, and there is one.
+// HasLeaders reports whether at least one cell is known and each has a leader.
 func (c *Catalog) HasLeaders() bool {
-	return c.each(func(cell *Cell) bool { return cell.peer != nil })
+	return c.allCells(func(cell *Cell) bool { return cell.peer != nil })
 }
 
-// WorkersReported reports whether there is a cell, and each has a lead that has told of workers. A new lead is followed before it
-// has heard of any, and that it knows of none then says nothing about them.
+// WorkersReported reports whether at least one cell is known and the leader of each has reported workers. A new leader is
+// followed before its workers have reported, so that a capacity of 0 does not mean that there are none.
 func (c *Catalog) WorkersReported() bool {
-	return c.each(func(cell *Cell) bool { return cell.peer != nil && cell.load.Capacity > 0 })
+	return c.allCells(func(cell *Cell) bool { return cell.peer != nil && cell.load.Capacity > 0 })
 }
 
-// each reports whether there is a cell, and something holds of each.
-func (c *Catalog) each(holds func(*Cell) bool) bool {
+// allCells reports whether at least one cell is known and all satisfy a condition.
+func (c *Catalog) allCells(condition func(*Cell) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cell := range c.cells {
-		if !holds(cell) {
+		if !condition(cell) {
 			return false
 		}
 	}
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -1,6 +1,6 @@
-// Package catalog is what an entry knows of its region: the cells, their
-// leads, and the endpoints that serve requests. It outlives the leads and the
-// store: while nothing better is heard, the last known endpoints stay.
+// Package catalog holds an entry's view of its region: the cells, their leaders,
+// and the endpoints that serve requests. The view survives the loss of leaders
+// and of the store: the last known endpoints stay until newer ones are received.
 //
-// Locks are taken in this order: Catalog.mu, then an endpoint's own lock.
+// Locks are taken in this order: Catalog.mu, then Endpoint.mu.
 package catalog
--- a/internal/catalog/endpoint.go
+++ b/internal/catalog/endpoint.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	longestRequest = 10 * time.Minute
-	leavingFor     = 5 * time.Second
+	maxRequestTime  = 10 * time.Minute
+	leavingDuration = 5 * time.Second
 )
 
 var endpointProbation = probation.Policy{Failures: 3, Wait: time.Second}
 
-// Endpoint is a replica as an entry sees it, behind the agent beside it.
+// Endpoint is a replica to which the entry sends requests through the agent on the same VM.
 type Endpoint struct {
-	about  control.Endpoint
-	far    bool
-	client *fasthttp.HostClient
+	info      control.Endpoint
+	otherHall bool
+	client    *fasthttp.HostClient
 
 	inFlight atomic.Int64
 	reported atomic.Int64
@@ -35,39 +35,40 @@
 	closed       atomic.Bool
 }
 
-func newEndpoint(about control.Endpoint, hall string) *Endpoint {
-	e := &Endpoint{about: about, far: about.Hall != hall, client: httpclient.New(about.Address, longestRequest)}
-	e.closed.Store(about.Leaving)
+func newEndpoint(info control.Endpoint, hall string) *Endpoint {
+	e := &Endpoint{info: info, otherHall: info.Hall != hall, client: httpclient.New(info.Address, maxRequestTime)}
+	e.closed.Store(info.Leaving)
 	return e
 }
 
 // Address returns the address host:port of the agent's request listener.
-func (e *Endpoint) Address() string { return e.about.Address }
+func (e *Endpoint) Address() string { return e.info.Address }
 
 // Instance returns the VM instance.
-func (e *Endpoint) Instance() string { return e.about.Instance }
+func (e *Endpoint) Instance() string { return e.info.Instance }
 
-// Boot returns the start of the agent that the entry knows.
-func (e *Endpoint) Boot() string { return e.about.Boot }
+// Boot returns the identifier of the agent's incarnation.
+func (e *Endpoint) Boot() string { return e.info.Boot }
 
 // Client returns the client to the agent.
 func (e *Endpoint) Client() *fasthttp.HostClient { return e.client }
 
-// Candidate returns what routing needs to know.
+// Candidate returns the state that routing needs.
 func (e *Endpoint) Candidate() routing.Candidate {
 	load := max(e.inFlight.Load(), e.reported.Load())
-	return routing.NewCandidate(int(load), e.about.Slots, e.far, e.closed.Load())
+	return routing.NewCandidate(int(load), e.info.Slots, e.otherHall, e.closed.Load())
 }
 
-// LastResort returns what routing needs to know when all endpoints are closed: probation may be wrong, leaving is not.
+// LastResort returns the state that routing needs if all endpoints are closed: it ignores probation, which may be wrong,
+// but not leaving.
 func (e *Endpoint) LastResort() routing.Candidate {
 	e.mu.Lock()
-	leaving := e.about.Leaving || time.Now().Before(e.leavingUntil)
+	leaving := e.info.Leaving || time.Now().Before(e.leavingUntil)
 	e.mu.Unlock()
-	return routing.NewCandidate(int(e.inFlight.Load()), e.about.Slots, e.far, leaving)
+	return routing.NewCandidate(int(e.inFlight.Load()), e.info.Slots, e.otherHall, leaving)
 }
 
-// Begin takes note of a request sent to the endpoint.
+// Begin records a request sent to the endpoint.
 func (e *Endpoint) Begin() {
 	e.inFlight.Add(1)
 	if e.closed.Load() {
@@ -79,13 +80,13 @@
 	e.refresh(time.Now())
 }
 
-// End takes note that a request is no longer in flight.
+// End records that a request is no longer in flight.
 func (e *Endpoint) End() { e.inFlight.Add(-1) }
 
-// SetReportedLoad takes note of the requests that the agent says it has in hand.
+// SetReportedLoad records the number of requests that the agent reports in flight.
 func (e *Endpoint) SetReportedLoad(load int) { e.reported.Store(int64(load)) }
 
-// Succeed takes note of an answer.
+// Succeed records an answer.
 func (e *Endpoint) Succeed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,33 +94,34 @@
 	e.refresh(time.Now())
 }
 
-// Fail takes note of a failure, and reports whether it put the endpoint on probation.
+// Fail records a failure and reports whether it put the endpoint on probation.
 func (e *Endpoint) Fail() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	began := endpointProbation.Fail(&e.health, time.Now())
+	ejected := endpointProbation.Fail(&e.health, time.Now())
 	e.refresh(time.Now())
-	return began
+	return ejected
 }
 
-// Leave takes note that the agent says it is leaving; it is believed for some seconds, in which the list follows.
+// Leave records that the agent reported that it is leaving; the endpoint is closed for leavingDuration, in which the list of
+// endpoints is updated.
 func (e *Endpoint) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	endpointProbation.CancelTrial(&e.health)
-	e.leavingUntil = time.Now().Add(leavingFor)
+	e.leavingUntil = time.Now().Add(leavingDuration)
 	e.refresh(time.Now())
 }
 
-// Refresh opens an endpoint whose wait is over.
+// Refresh reopens the endpoint if its probation wait has ended.
 func (e *Endpoint) Refresh(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.refresh(now)
 }
 
-// refresh works out whether requests may be sent; e.mu is held.
+// refresh updates whether requests may be sent; e.mu must be held.
 func (e *Endpoint) refresh(now time.Time) {
 	allowed := endpointProbation.Allows(&e.health, now)
-	e.closed.Store(e.about.Leaving || !allowed || now.Before(e.leavingUntil))
+	e.closed.Store(e.info.Leaving || !allowed || now.Before(e.leavingUntil))
 }
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -16,8 +16,8 @@
 
 const (
 	subscribeTimeout = 2 * time.Second
-	searchAgain      = 500 * time.Millisecond
-	refreshEach      = 200 * time.Millisecond
+	retryDelay       = 500 * time.Millisecond
+	refreshInterval  = 200 * time.Millisecond
 )
 
 // Follower keeps a catalog up to date.
@@ -27,14 +27,14 @@
 	Secret  string
 	Store   store.Store
 	VMs     vmlist.List
-	// List is how often the list of VMs is read, Subscribe how often each lead is asked whether it still is one.
+	// List is the interval of reading the list of VMs, Subscribe that of renewing the subscription to each leader.
 	List      time.Duration
 	Subscribe time.Duration
 	Logger    logging.Logger
 	Clock     *timeline.Clock
 }
 
-// Run follows the list of VMs and the lead of each cell in it until ctx ends.
+// Run follows the list of VMs and the leader of each of its cells until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	followed := make(map[string]context.CancelFunc)
 	go f.refreshLoop(ctx)
@@ -42,7 +42,7 @@
 		wait := f.List
 		if vms, err := f.VMs.VMs(ctx); err != nil {
 			f.Logger.Debug("cannot read the list of VMs: %v", err)
-			wait = searchAgain
+			wait = retryDelay
 		} else {
 			f.followCells(ctx, cellsOf(vms), followed)
 		}
@@ -57,7 +57,7 @@
 func (f *Follower) refreshLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.Catalog.Refresh(time.Now())
-		store.Pause(ctx, refreshEach)
+		store.Pause(ctx, refreshInterval)
 	}
 }
 
@@ -71,7 +71,7 @@
 	return cells
 }
 
-// followCells begins to follow the cells that are new; a list that names no VM at all is not believed.
+// followCells starts to follow new cells and stops following removed ones; a list without any VM is ignored as wrong.
 func (f *Follower) followCells(ctx context.Context, cells map[string]struct{}, followed map[string]context.CancelFunc) {
 	if len(cells) == 0 {
 		return
@@ -100,45 +100,45 @@
 			f.Logger.Debug("cell %s: %v", cell, err)
 		}
 		f.Catalog.SetPeer(cell, nil)
-		store.Pause(ctx, searchAgain)
+		store.Pause(ctx, retryDelay)
 	}
 }
 
-// subscribe follows one lead until it is none any more.
+// subscribe follows one leader until its leadership or the connection ends.
 func (f *Follower) subscribe(ctx context.Context, cell string) error {
-	held, err := f.Store.Holder(ctx, leader.LeaseName(cell))
+	lease, err := f.Store.Holder(ctx, leader.LeaseName(cell))
 	if err != nil {
 		return err
 	}
-	if held.Holder() == "" {
-		return fault.New(fault.Unavailable, "nobody leads")
+	if lease.Holder() == "" {
+		return fault.New(fault.Unavailable, "the cell has no leader")
 	}
 	mux := rpc.NewMux(f.Clock)
 	rpc.Handle(mux, control.MethodSummary, func(_ context.Context, _ *rpc.Peer, s control.Summary) (control.Ack, error) {
 		f.Catalog.Update(s)
 		return control.Ack{}, nil
 	})
-	peer, err := rpc.Dial(ctx, held.Holder(), f.Secret, mux)
+	peer, err := rpc.Dial(ctx, lease.Holder(), f.Secret, mux)
 	if err != nil {
 		return err
 	}
 	defer peer.Close()
 	for ctx.Err() == nil {
-		if err := f.ask(ctx, cell, peer, held.Holder()); err != nil {
+		if err := f.renewSubscription(ctx, cell, peer, lease.Holder()); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 		case <-peer.Done():
-			return fault.New(fault.Unavailable, "the connection to the lead ended")
+			return fault.New(fault.Unavailable, "the connection to the leader ended")
 		case <-time.After(f.Subscribe):
 		}
 	}
 	return ctx.Err()
 }
 
-// ask renews the subscription; a lead that has lost its lease is left.
-func (f *Follower) ask(ctx context.Context, cell string, peer *rpc.Peer, address string) error {
+// renewSubscription renews the subscription; it fails if the leader has lost its lease.
+func (f *Follower) renewSubscription(ctx context.Context, cell string, peer *rpc.Peer, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, subscribeTimeout)
 	defer cancel()
 	answer, err := rpc.Call[control.Subscribe, control.SubscribeAnswer](ctx, peer, control.MethodSubscribe,
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -13,9 +13,9 @@
 )
 
 // Main runs the command line and returns the exit code.
-func Main(version string, args []string, out, problems io.Writer) int {
+func Main(version string, args []string, out, errorOut io.Writer) int {
 	app := kingpin.New("saffronpulleyd", "Schedules latency-critical and batch work on shared VMs.")
-	app.Version(version).UsageWriter(out).ErrorWriter(problems)
+	app.Version(version).UsageWriter(out).ErrorWriter(errorOut)
 	run := app.Command("run", "Runs the daemon.")
 	check := app.Command("check", "Checks the settings and starts nothing.")
 	list := app.Command("settings", "Lists all settings.")
@@ -24,11 +24,11 @@
 	var overrides []string
 	for _, c := range []*kingpin.CmdClause{run, check} {
 		c.Arg("file", "The settings, in YAML.").Required().StringVar(&file)
-		c.Flag("set", "Sets key=value over the file and the environment; may be repeated.").StringsVar(&overrides)
+		c.Flag("set", "Sets key=value, overriding the file and the environment; may be repeated.").StringsVar(&overrides)
 	}
 	command, err := app.Parse(args)
 	if err != nil {
-		fmt.Fprintf(problems, "saffronpulleyd: %v; see --help\n", err)
+		fmt.Fprintf(errorOut, "saffronpulleyd: %v; see --help\n", err)
 		return fault.BadInput.Answer().ExitCode()
 	}
 	if command == list.FullCommand() {
@@ -36,39 +36,39 @@
 		return 0
 	}
 	if command == onPlatform.FullCommand() {
-		return exitCode(node.Run(os.Getenv(node.SettingsVariable)), problems)
+		return exitCode(node.Run(os.Getenv(node.SettingsVariable)), errorOut)
 	}
 	s, err := settings.Load(file, overrides, os.LookupEnv)
 	if err == nil && command == run.FullCommand() {
 		err = Run(s)
 	}
 	if err != nil {
-		return exitCode(err, problems)
+		return exitCode(err, errorOut)
 	}
 	if command == check.FullCommand() {
-		fmt.Fprintf(out, "%s is right\n", file)
+		fmt.Fprintf(out, "%s is valid\n", file)
 	}
 	return 0
 }
 
-// exitCode writes why the command failed, if it did, and returns its code.
-func exitCode(err error, problems io.Writer) int {
+// exitCode writes the error of a failed command and returns the exit code.
+func exitCode(err error, errorOut io.Writer) int {
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintf(problems, "saffronpulleyd: %v\n", err)
+	fmt.Fprintf(errorOut, "saffronpulleyd: %v\n", err)
 	return fault.KindOf(err).Answer().ExitCode()
 }
 
 func writeList(out io.Writer) {
 	for _, s := range settings.List() {
-		fallback := s.Default()
+		defaultText := s.Default()
 		switch {
 		case s.IsOptional():
-			fallback = "may be left out"
-		case fallback == "":
-			fallback = "must be given"
+			defaultText = "optional"
+		case defaultText == "":
+			defaultText = "required"
 		}
-		fmt.Fprintf(out, "%s (%s)\n    %s Give %s. Environment: %s.\n", s.Key(), fallback, s.Description(), s.Allowed(), s.Environment())
+		fmt.Fprintf(out, "%s (%s)\n    %s Give %s. Environment: %s.\n", s.Key(), defaultText, s.Description(), s.Allowed(), s.Environment())
 	}
 }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon is the command line of saffronpulleyd: it reads the settings,
-// opens the listeners and runs the role that the settings name.
+// Package daemon implements the command line of saffronpulleyd: it reads the settings,
+// opens the listeners and runs the configured role.
 package daemon
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -30,7 +30,7 @@
 	maxConnections = 4096
 )
 
-// process is what both roles share.
+// process holds the dependencies that both roles share.
 type process struct {
 	settings *settings.Settings
 	logger   logging.Logger
@@ -41,14 +41,14 @@
 	vms      vmlist.List
 }
 
-// Run runs the role that the settings name until SIGTERM or SIGINT, which ends it in good order; a second ends it at once.
+// Run runs the configured role until SIGTERM or SIGINT, which stops it gracefully; a second signal ends it at once.
 func Run(s *settings.Settings) error {
 	logger, err := logging.New(s.LogLevel(), s.LogFormat(), s.ID())
 	if err != nil {
 		return err
 	}
 	defer logger.Flush()
-	// The collector works harder rather than let the process outgrow its share of the VM.
+	// With this limit the garbage collector runs more often instead of letting the process exceed its share of the VM.
 	debug.SetMemoryLimit(memoryLimit)
 	httpclient.BindSource(s.Source())
 	clock := timeline.NewClock(time.Now)
@@ -61,7 +61,7 @@
 	p.metrics.Gauge("control.bytes", rpc.BytesTransferred)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	go endAtSecondSignal(ctx)
+	go exitOnSecondSignal(ctx)
 	p.recorder.Record(timeline.ProcessStarted, timeline.Subject{}, "started as "+s.Role())
 	if s.Role() == settings.RoleEntry {
 		return p.runEntry(ctx)
@@ -69,10 +69,10 @@
 	return p.runAgent(ctx)
 }
 
-// secondSignalCode is the exit code of a process that a second signal ended.
+// secondSignalCode is the exit code after a second signal.
 const secondSignalCode = 130
 
-func endAtSecondSignal(ctx context.Context) {
+func exitOnSecondSignal(ctx context.Context) {
 	<-ctx.Done()
 	second := make(chan os.Signal, 1)
 	signal.Notify(second, syscall.SIGTERM, os.Interrupt)
@@ -84,11 +84,11 @@
 	return admin.Limits{Body: p.settings.MaxBody(), Read: readTimeout, Idle: idleTimeout, Connections: maxConnections}
 }
 
-// serveAdmin serves health, metrics and, where more is not nil, what else operators reach.
-func (p *process) serveAdmin(listener net.Listener, ready func() bool, more func(*fasthttp.RequestCtx) bool) *admin.Server {
+// serveAdmin serves health, metrics and, if otherPaths is not nil, the other paths for operators.
+func (p *process) serveAdmin(listener net.Listener, ready func() bool, otherPaths func(*fasthttp.RequestCtx) bool) *admin.Server {
 	health := admin.Health{Ready: ready, Metrics: p.metrics}
 	return admin.Serve(listener, p.limits(), func(ctx *fasthttp.RequestCtx) {
-		if health.Handle(ctx) || (more != nil && more(ctx)) {
+		if health.Handle(ctx) || (otherPaths != nil && otherPaths(ctx)) {
 			return
 		}
 		ctx.Error("there is no such path\n", fasthttp.StatusNotFound)
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,2 +1,2 @@
-// Package logging writes short sentences with a fixed prefix for each part.
+// Package logging writes log messages with a fixed prefix for each component.
 package logging
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -12,27 +12,28 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Bounds of what a process logs: twice the lines of a busy lead on the users' largest deployment, and what a burst may add.
+// Limits of the lines that a process logs: twice the rate of a busy leader in the users' largest deployment, and the
+// size of a burst.
 const (
 	linesPerSecond = 1000
 	burstLines     = 2000
-	// waitingLines is how many lines wait for a slow reader of the output before more are left out.
-	waitingLines = 4096
-	// drainTime is how long the last lines have to be written when a process ends.
-	drainTime = 50 * time.Millisecond
+	// bufferedLines is how many lines are buffered for a slow reader of the output before further lines are dropped.
+	bufferedLines = 4096
+	// flushTime is the time for writing the last lines when a process ends.
+	flushTime = 50 * time.Millisecond
 )
 
-// Logger writes the sentences of one part of a process; it never waits for whoever reads them.
+// Logger writes the messages of one component of a process; it never blocks on the reader of the output.
 type Logger struct {
 	logger *log.Logger
 	prefix string
-	gate   *gate
+	limit  *lineLimit
 }
 
-// gate bounds the lines of a process and counts those that are left out.
-type gate struct {
+// lineLimit limits the rate of a process's lines and counts those that are dropped.
+type lineLimit struct {
 	limiter *rate.Limiter
-	left    atomic.Int64
+	dropped atomic.Int64
 }
 
 // New returns the logger of a process; level is debug, info, warn or error, and format json or console.
@@ -45,34 +46,34 @@
 	logger.Context = log.NewContext(nil).Str("process", process).Value()
 	switch format {
 	case "json":
-		logger.Writer = unhurried(log.IOWriter{Writer: os.Stdout})
+		logger.Writer = nonBlocking(log.IOWriter{Writer: os.Stdout})
 	case "console":
-		logger.Writer = unhurried(&log.ConsoleWriter{Writer: os.Stdout})
+		logger.Writer = nonBlocking(&log.ConsoleWriter{Writer: os.Stdout})
 	default:
 		return Logger{}, fault.New(fault.BadInput, "%q is not a log format; use json or console", format)
 	}
-	return Logger{logger: logger, gate: &gate{limiter: rate.NewLimiter(linesPerSecond, burstLines)}}, nil
+	return Logger{logger: logger, limit: &lineLimit{limiter: rate.NewLimiter(linesPerSecond, burstLines)}}, nil
 }
 
-// unhurried returns a writer that drops lines rather than wait.
-func unhurried(w log.Writer) log.Writer {
-	return &log.AsyncWriter{ChannelSize: waitingLines, DiscardOnFull: true, Writer: w}
+// nonBlocking returns a writer that drops lines instead of blocking.
+func nonBlocking(w log.Writer) log.Writer {
+	return &log.AsyncWriter{ChannelSize: bufferedLines, DiscardOnFull: true, Writer: w}
 }
 
-// Flush lets the last lines be written before the process ends.
-func (l Logger) Flush() { time.Sleep(drainTime) }
+// Flush waits for the last lines to be written before the process ends.
+func (l Logger) Flush() { time.Sleep(flushTime) }
 
-// open reports whether a line may be written, and tells first how many were left out before it.
-func (l Logger) open() bool {
-	if l.gate == nil {
+// allowLine reports whether a line may be written, and first logs how many lines were dropped before it.
+func (l Logger) allowLine() bool {
+	if l.limit == nil {
 		return true
 	}
-	if !l.gate.limiter.Allow() {
-		l.gate.left.Add(1)
+	if !l.limit.limiter.Allow() {
+		l.limit.dropped.Add(1)
 		return false
 	}
-	if left := l.gate.left.Swap(0); left > 0 {
-		l.logger.Warn().Msgf("logging: %d lines were left out, more than %d a second", left, linesPerSecond)
+	if dropped := l.limit.dropped.Swap(0); dropped > 0 {
+		l.logger.Warn().Msgf("logging: %d lines were dropped, more than %d a second", dropped, linesPerSecond)
 	}
 	return true
 }
@@ -82,35 +83,35 @@
 	return Logger{logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}}
 }
 
-// Named returns the logger of a part, whose sentences begin with its name.
+// Named returns the logger of a component, whose messages begin with its name.
 func (l Logger) Named(name string) Logger {
-	return Logger{logger: l.logger, prefix: name + ": ", gate: l.gate}
+	return Logger{logger: l.logger, prefix: name + ": ", limit: l.limit}
 }
 
-// Debug writes a sentence for those who look for a fault.
+// Debug writes a message for troubleshooting.
 func (l Logger) Debug(format string, args ...any) {
-	if l.logger.Level <= log.DebugLevel && l.open() {
+	if l.logger.Level <= log.DebugLevel && l.allowLine() {
 		l.logger.Debug().Msgf(l.prefix+format, args...)
 	}
 }
 
-// Info writes a sentence about the ordinary course.
+// Info writes a message about normal operation.
 func (l Logger) Info(format string, args ...any) {
-	if l.logger.Level <= log.InfoLevel && l.open() {
+	if l.logger.Level <= log.InfoLevel && l.allowLine() {
 		l.logger.Info().Msgf(l.prefix+format, args...)
 	}
 }
 
-// Warn writes a sentence about something that the process can live with.
+// Warn writes a message about a problem that the process can handle.
 func (l Logger) Warn(format string, args ...any) {
-	if l.logger.Level <= log.WarnLevel && l.open() {
+	if l.logger.Level <= log.WarnLevel && l.allowLine() {
 		l.logger.Warn().Msgf(l.prefix+format, args...)
 	}
 }
 
-// Error writes a sentence about something that somebody has to look at.
+// Error writes a message about a problem that needs attention.
 func (l Logger) Error(format string, args ...any) {
-	if l.logger.Level <= log.ErrorLevel && l.open() {
+	if l.logger.Level <= log.ErrorLevel && l.allowLine() {
 		l.logger.Error().Msgf(l.prefix+format, args...)
 	}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,21 +10,21 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestVolumeIsBoundedAndWhatIsLeftOutIsCounted(t *testing.T) {
+func TestVolumeIsLimitedAndDroppedLinesAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	l := Logger{
 		logger: &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: &out}},
-		gate:   &gate{limiter: rate.NewLimiter(0, 2)},
+		limit:  &lineLimit{limiter: rate.NewLimiter(0, 2)},
 	}.Named("part")
 	for range 5 {
 		l.Info("a line")
-		l.Debug("not asked for, and not counted")
+		l.Debug("below the level, and not counted")
 	}
 	assert.Equal(t, strings.Count(out.String(), "part: a line"), 2)
-	assert.Equal(t, l.gate.left.Load(), int64(3))
-	l.gate.limiter.SetBurst(4)
-	l.gate.limiter.SetLimit(rate.Inf)
+	assert.Equal(t, l.limit.dropped.Load(), int64(3))
+	l.limit.limiter.SetBurst(4)
+	l.limit.limiter.SetLimit(rate.Inf)
 	l.Warn("another")
-	assert.Equal(t, strings.Count(out.String(), "3 lines were left out"), 1)
+	assert.Equal(t, strings.Count(out.String(), "3 lines were dropped"), 1)
 	assert.Equal(t, strings.Count(out.String(), "part: another"), 1)
 }
--- a/internal/metric/doc.go
+++ b/internal/metric/doc.go
@@ -1,2 +1,2 @@
-// Package metric counts and times what a process does, and writes it as JSON.
+// Package metric collects the metrics of a process and writes them as JSON.
 package metric
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -26,10 +26,10 @@
 	return metrics.GetOrRegisterCounter(name, r.registry)
 }
 
-// Histogram returns the histogram of a name, over the latest samples, which fade.
+// Histogram returns the histogram of a name over an exponentially decaying sample.
 func (r *Registry) Histogram(name string) metrics.Histogram {
-	created := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, 0.015)) }
-	histogram, ok := r.registry.GetOrRegister(name, created).(metrics.Histogram)
+	newHistogram := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, 0.015)) }
+	histogram, ok := r.registry.GetOrRegister(name, newHistogram).(metrics.Histogram)
 	if !ok {
 		return metrics.NilHistogram{}
 	}
@@ -41,7 +41,7 @@
 	_ = r.registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
-// RegisterProcess registers what is of interest of each process.
+// RegisterProcess registers the gauges of goroutines, uptime and heap that each process has.
 func (r *Registry) RegisterProcess() {
 	r.Gauge("process.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
 	r.Gauge("process.uptime_ms", func() int64 { return time.Since(r.started).Milliseconds() })
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -12,14 +12,14 @@
 
 const callTimeout = 10 * time.Second
 
-// client asks the entries, the next when one is away.
+// client calls the entries in order, the next one if one is unavailable.
 type client struct {
 	entries []string
 }
 
 func newClient(entries []string) *client { return &client{entries: entries} }
 
-// answer is what an entry answered.
+// answer is the response of an entry.
 type answer struct {
 	body   []byte
 	header func(name string) string
@@ -42,28 +42,28 @@
 	return a.body, nil
 }
 
-// post sends a body that may be sent to several entries without harm.
+// post sends a body; the next entry may receive it again, so the request must be idempotent.
 func (c *client) post(path string, body []byte) (answer, error) {
 	return c.call(fasthttp.MethodPost, path, body)
 }
 
 func (c *client) call(method, path string, body []byte) (answer, error) {
-	last := error(fault.New(fault.BadInput, "no entry is given; use --entry or SAFFRONPULLEY_ENTRIES"))
+	lastErr := error(fault.New(fault.BadInput, "no entry is given; use --entry or SAFFRONPULLEY_ENTRIES"))
 	for _, entry := range c.entries {
 		a, err := callEntry(entry, method, path, body)
 		if err == nil {
 			return a, nil
 		}
-		last = err
+		lastErr = err
 		kind := fault.KindOf(err)
 		if kind != fault.Unavailable && kind != fault.OutcomeUnknown && kind != fault.Leaving {
 			return answer{}, err
 		}
 	}
-	return answer{}, last
+	return answer{}, lastErr
 }
 
-// errorAnswer is the body of an entry's error answer.
+// errorAnswer is the JSON body of an entry's error response.
 type errorAnswer struct {
 	Error struct {
 		Kind             string `json:"kind"`
@@ -98,6 +98,6 @@
 	if err := json.Unmarshal(response.Body(), &e); err != nil {
 		return fault.New(fault.Internal, "the entry answered status %d: %s", response.StatusCode(), response.Body())
 	}
-	after := time.Duration(e.Error.RetryAfterMillis) * time.Millisecond
-	return fault.New(fault.ParseKind(e.Error.Kind), "%s", e.Error.Message).WithRetryAfter(after)
+	delay := time.Duration(e.Error.RetryAfterMillis) * time.Millisecond
+	return fault.New(fault.ParseKind(e.Error.Kind), "%s", e.Error.Message).WithRetryAfter(delay)
 }
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -11,7 +11,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// commands is the command line with what was given on it.
+// commands holds the command line and its parsed arguments.
 type commands struct {
 	app    *kingpin.Application
 	client *client
@@ -33,30 +33,30 @@
 }
 
 // Main runs the command line and returns the exit code, which is documented for each error kind.
-func Main(version string, args []string, in io.Reader, out, problems io.Writer) int {
-	c := newCommands(version, in, out, problems)
+func Main(version string, args []string, in io.Reader, out, errorOut io.Writer) int {
+	c := newCommands(version, in, out, errorOut)
 	command, err := c.app.Parse(args)
 	if err != nil {
-		fmt.Fprintf(problems, "saffronpulley: %v; see --help\n", err)
+		fmt.Fprintf(errorOut, "saffronpulley: %v; see --help\n", err)
 		return fault.BadInput.Answer().ExitCode()
 	}
 	c.client = newClient(c.entries)
 	if err := c.handlers[command](); err != nil {
-		fmt.Fprintf(problems, "saffronpulley: %v\n", err)
+		fmt.Fprintf(errorOut, "saffronpulley: %v\n", err)
 		return fault.KindOf(err).Answer().ExitCode()
 	}
 	return 0
 }
 
-func newCommands(version string, in io.Reader, out, problems io.Writer) *commands {
+func newCommands(version string, in io.Reader, out, errorOut io.Writer) *commands {
 	c := &commands{out: out, handlers: make(map[string]func() error)}
 	c.app = kingpin.New("saffronpulley", "Edits the table of workloads and shows what the system does.")
-	c.app.Version(version).UsageWriter(out).ErrorWriter(problems)
-	c.app.Flag("entry", "Admin address of an entry, host:port; may be repeated, and the next is asked when one is away.").
+	c.app.Version(version).UsageWriter(out).ErrorWriter(errorOut)
+	c.app.Flag("entry", "Admin address of an entry, host:port; may be repeated, and the next one is used if one is unavailable.").
 		Envar("SAFFRONPULLEY_ENTRIES").Default("127.0.0.1:4103").StringsVar(&c.entries)
 	c.app.Flag("output", "Form of the output.").Short('o').Default("table").EnumVar(&c.output, "table", "json")
 	c.addTable(in)
-	c.addSight()
+	c.addStatus()
 	return c
 }
 
@@ -67,30 +67,30 @@
 	c.add(table.Command("history", "Lists the accepted edits."), c.tableHistory)
 	check := table.Command("check", "Checks a file and changes nothing.")
 	diff := table.Command("diff", "Shows what a file would change.")
-	apply := table.Command("apply", "Makes a file the table; rows that others changed meanwhile are kept.")
+	apply := table.Command("apply", "Replaces the table by a file; rows that others changed meanwhile are kept.")
 	for _, command := range []*kingpin.CmdClause{check, diff, apply} {
 		command.Arg("file", "The table, in CSV; - reads it from standard input.").Required().StringVar(&c.file)
 	}
 	apply.Flag("base", "Version that the file started from.").Required().Uint64Var(&c.base)
 	apply.Flag("author", "Name that goes into the history.").Default(userName()).StringVar(&c.author)
 	apply.Flag("wait", "Waits until the edit is in force in all cells.").Default("true").BoolVar(&c.wait)
-	apply.Flag("write-id", "Identifier of the edit; the same is accepted once.").StringVar(&c.writeID)
+	apply.Flag("write-id", "Identifier of the edit; an edit is accepted once for each identifier.").StringVar(&c.writeID)
 	read := func() ([]byte, error) { return readFile(c.file, in) }
 	c.add(check, func() error { return c.tableCheck(read) })
 	c.add(diff, func() error { return c.tableDiff(read) })
 	c.add(apply, func() error { return c.tableApply(read) })
 }
 
-func (c *commands) addSight() {
-	c.add(c.app.Command("status", "Shows workloads against their targets, workers, and what waits and why."), c.status)
-	explain := c.app.Command("explain", "Says why a task is where it is, or why it cannot run.")
+func (c *commands) addStatus() {
+	c.add(c.app.Command("status", "Shows workloads with their targets, workers, and the reasons for waiting."), c.status)
+	explain := c.app.Command("explain", "Explains why a task runs on its worker, or why it cannot run.")
 	explain.Arg("task", "The task, written job/index or service/index.").Required().StringVar(&c.task)
 	c.add(explain, c.explain)
-	timeline := c.app.Command("timeline", "Shows the events of all processes in one line.")
+	timeline := c.app.Command("timeline", "Shows the events of all processes in one timeline.")
 	timeline.Flag("task", "Only events of a task or of the tasks of a job.").StringVar(&c.task)
 	timeline.Flag("worker", "Only events on a worker.").StringVar(&c.worker)
 	timeline.Flag("request", "Only events of a request.").StringVar(&c.request)
-	timeline.Flag("follow", "Goes on with later events until interrupted.").Short('f').BoolVar(&c.follow)
+	timeline.Flag("follow", "Shows later events as well until interrupted.").Short('f').BoolVar(&c.follow)
 	c.add(timeline, c.timeline)
 }
 
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -10,7 +10,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-const followEach = time.Second
+const followInterval = time.Second
 
 func (c *commands) status() error {
 	var s status
@@ -119,7 +119,7 @@
 		if !c.follow {
 			return nil
 		}
-		<-time.After(followEach)
+		<-time.After(followInterval)
 	}
 }
 
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	applyTries   = 5
-	applyAgain   = time.Second
-	forceTimeout = 30 * time.Second
-	forcePoll    = 200 * time.Millisecond
+	applyTries          = 5
+	applyRetryDelay     = time.Second
+	inForceTimeout      = 30 * time.Second
+	inForcePollInterval = 200 * time.Millisecond
 )
 
 func (c *commands) tableShow() error {
@@ -40,11 +40,11 @@
 		for _, k := range column.Kinds() {
 			kinds = append(kinds, k.String())
 		}
-		fallback := column.Default()
-		if fallback == "" {
-			fallback = "must be given"
+		defaultText := column.Default()
+		if defaultText == "" {
+			defaultText = "required"
 		}
-		fmt.Fprintf(c.out, "%s (%s; %s)\n    %s Use %s.%s\n", column.Name(), strings.Join(kinds, ", "), fallback,
+		fmt.Fprintf(c.out, "%s (%s; %s)\n    %s Use %s.%s\n", column.Name(), strings.Join(kinds, ", "), defaultText,
 			column.Description(), column.Allowed(), unitText(column))
 	}
 	return nil
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%d rows are right\n", len(rows))
+	fmt.Fprintf(c.out, "%d rows are valid\n", len(rows))
 	return nil
 }
 
@@ -97,13 +97,13 @@
 	return nil
 }
 
-// applied is the answer to an accepted edit.
-type applied struct {
+// applyResult is the answer to an accepted edit.
+type applyResult struct {
 	Version uint64 `json:"version"`
 	Rows    int    `json:"rows"`
 }
 
-// tableApply sends the edit until an entry has accepted or refused it; its identifier makes that safe.
+// tableApply sends the edit until an entry has accepted or refused it; the write identifier makes retries idempotent.
 func (c *commands) tableApply(read func() ([]byte, error)) error {
 	content, err := read()
 	if err != nil {
@@ -124,15 +124,15 @@
 	if !c.wait {
 		return nil
 	}
-	return c.awaitForce(result.Version)
+	return c.awaitInForce(result.Version)
 }
 
-func (c *commands) postEdit(path string, content []byte) (applied, error) {
-	var result applied
-	var last error
-	for try := range applyTries {
-		if try > 0 {
-			<-time.After(applyAgain)
+func (c *commands) postEdit(path string, content []byte) (applyResult, error) {
+	var result applyResult
+	var lastErr error
+	for attempt := range applyTries {
+		if attempt > 0 {
+			<-time.After(applyRetryDelay)
 		}
 		a, err := c.client.post(path, content)
 		if err == nil {
@@ -141,29 +141,29 @@
 			}
 			return result, nil
 		}
-		last = err
+		lastErr = err
 		if kind := fault.KindOf(err); kind != fault.Unavailable && kind != fault.OutcomeUnknown {
 			return result, err
 		}
 	}
-	return result, last
+	return result, lastErr
 }
 
-// awaitForce waits until each cell has the version.
-func (c *commands) awaitForce(version uint64) error {
-	began := time.Now()
-	for time.Since(began) < forceTimeout {
+// awaitInForce waits until the entry and each cell report the version.
+func (c *commands) awaitInForce(version uint64) error {
+	startedAt := time.Now()
+	for time.Since(startedAt) < inForceTimeout {
 		var s status
 		if _, err := c.client.getJSON("/v1/status", &s); err == nil && s.inForce(version) {
-			fmt.Fprintf(c.out, "version %d is in force after %d ms\n", version, time.Since(began).Milliseconds())
+			fmt.Fprintf(c.out, "version %d is in force after %d ms\n", version, time.Since(startedAt).Milliseconds())
 			return nil
 		}
-		<-time.After(forcePoll)
+		<-time.After(inForcePollInterval)
 	}
-	return fault.New(fault.Unavailable, "version %d is accepted, but after %s some cells do not say that they have it", version, forceTimeout)
+	return fault.New(fault.Unavailable, "version %d is accepted, but after %s some cells have not reported it", version, inForceTimeout)
 }
 
-// status is the state of the region as an entry answers it.
+// status is the state of the region in an entry's response.
 type status struct {
 	Entry        string               `json:"entry"`
 	TableVersion uint64               `json:"table_version"`
@@ -180,7 +180,7 @@
 	return s.TableVersion >= version && len(s.Unreachable) == 0
 }
 
-// change is an accepted edit as an entry answers it.
+// change is an accepted edit in an entry's response.
 type change struct {
 	Version uint64 `json:"version"`
 	Author  string `json:"author"`
--- a/internal/operator/text.go
+++ b/internal/operator/text.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// textTable writes rows in columns for people.
+// textTable writes rows in aligned columns.
 type textTable struct {
 	writer *tabwriter.Writer
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings reads and checks the settings of a daemon: one list of all
-// of them gives the check, the defaults, the environment's names and the page.
+// Package settings reads and checks the settings of a daemon. One list of all
+// settings defines their checks, defaults, environment variables and documentation.
 package settings
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,15 +11,15 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// given is a value of a setting and where it was given.
-type given struct {
-	text  string
-	where string
+// sourcedValue is the text of a setting and the source that it was read from.
+type sourcedValue struct {
+	text   string
+	source string
 }
 
-// Load reads the settings of a file, over which the environment goes, over which the overrides key=value go.
+// Load reads the settings of a file, overridden by the environment, and both overridden by the overrides key=value.
 //
-// All problems are returned at once, each with its file and line.
+// All problems are reported in one error, each with its file and line.
 func Load(file string, overrides []string, environment func(string) (string, bool)) (*Settings, error) {
 	content, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -29,26 +29,26 @@
 }
 
 func parse(file string, content []byte, overrides []string, environment func(string) (string, bool)) (*Settings, error) {
-	values := make(map[string]given)
+	values := make(map[string]sourcedValue)
 	problems, err := readFile(file, content, values)
 	if err != nil {
 		return nil, err
 	}
 	for _, s := range list {
 		if text, ok := environment(s.Environment()); ok {
-			values[s.key] = given{text: text, where: "environment " + s.Environment()}
+			values[s.key] = sourcedValue{text: text, source: "environment " + s.Environment()}
 		}
 	}
 	problems = append(problems, readOverrides(overrides, values)...)
-	settings, more := build(file, values)
-	problems = append(problems, more...)
+	settings, buildProblems := build(file, values)
+	problems = append(problems, buildProblems...)
 	if len(problems) > 0 {
 		return nil, fault.New(fault.BadInput, "the settings have %d problems:\n%s", len(problems), strings.Join(problems, "\n"))
 	}
 	return settings, nil
 }
 
-func readFile(file string, content []byte, values map[string]given) ([]string, error) {
+func readFile(file string, content []byte, values map[string]sourcedValue) ([]string, error) {
 	parsed, err := parser.ParseBytes(content, 0)
 	if err != nil {
 		return nil, fault.New(fault.BadInput, "%s is not YAML: %v", file, err)
@@ -56,27 +56,27 @@
 	var problems []string
 	for _, document := range parsed.Docs {
 		if document.Body != nil {
-			problems = append(problems, walk(file, "", document.Body, values)...)
+			problems = append(problems, collectValues(file, "", document.Body, values)...)
 		}
 	}
 	return problems, nil
 }
 
-func walk(file, prefix string, node ast.Node, values map[string]given) []string {
+func collectValues(file, prefix string, node ast.Node, values map[string]sourcedValue) []string {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		problems := []string{}
 		for _, v := range n.Values {
-			problems = append(problems, walk(file, prefix, v, values)...)
+			problems = append(problems, collectValues(file, prefix, v, values)...)
 		}
 		return problems
 	case *ast.MappingValueNode:
 		key := prefix + n.Key.GetToken().Value
 		if _, isMapping := n.Value.(*ast.MappingNode); isMapping {
-			return walk(file, key+".", n.Value, values)
+			return collectValues(file, key+".", n.Value, values)
 		}
 		if _, isMapping := n.Value.(*ast.MappingValueNode); isMapping {
-			return walk(file, key+".", n.Value, values)
+			return collectValues(file, key+".", n.Value, values)
 		}
 		return readValue(file, key, n, values)
 	default:
@@ -84,15 +84,15 @@
 	}
 }
 
-func readValue(file, key string, n *ast.MappingValueNode, values map[string]given) []string {
-	where := fmt.Sprintf("%s:%d", file, n.Key.GetToken().Position.Line)
+func readValue(file, key string, n *ast.MappingValueNode, values map[string]sourcedValue) []string {
+	source := fmt.Sprintf("%s:%d", file, n.Key.GetToken().Position.Line)
 	if !isKnown(key) {
-		return []string{fmt.Sprintf("%s: there is no setting %s%s", where, key, suggestion(key))}
+		return []string{fmt.Sprintf("%s: there is no setting %s%s", source, key, suggestion(key))}
 	}
 	if earlier, ok := values[key]; ok {
-		return []string{fmt.Sprintf("%s: %s stands at %s too", where, key, earlier.where)}
+		return []string{fmt.Sprintf("%s: %s is already set at %s", source, key, earlier.source)}
 	}
-	values[key] = given{text: n.Value.GetToken().Value, where: where}
+	values[key] = sourcedValue{text: n.Value.GetToken().Value, source: source}
 	return nil
 }
 
@@ -105,18 +105,18 @@
 	return false
 }
 
-// suggestion names a setting that has the same last part.
+// suggestion returns a hint at a setting that has the same last part, empty if there is none.
 func suggestion(key string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
 	for _, s := range list {
 		if strings.HasSuffix(s.key, last) || strings.HasPrefix(s.key, last+".") {
-			return "; is " + s.key + " meant?"
+			return "; did you mean " + s.key + "?"
 		}
 	}
 	return ""
 }
 
-func readOverrides(overrides []string, values map[string]given) []string {
+func readOverrides(overrides []string, values map[string]sourcedValue) []string {
 	var problems []string
 	for _, o := range overrides {
 		key, text, ok := strings.Cut(o, "=")
@@ -124,28 +124,28 @@
 			problems = append(problems, fmt.Sprintf("--set %s: give a known setting as key=value", o))
 			continue
 		}
-		values[key] = given{text: text, where: "--set " + key}
+		values[key] = sourcedValue{text: text, source: "--set " + key}
 	}
 	return problems
 }
 
-func build(file string, values map[string]given) (*Settings, []string) {
+func build(file string, values map[string]sourcedValue) (*Settings, []string) {
 	settings := &Settings{}
 	role := values["role"].text
 	var problems []string
 	for _, s := range list {
 		value, ok := values[s.key]
-		if !ok && s.fallback != "" {
-			value = given{text: s.fallback, where: "default"}
+		if !ok && s.defaultValue != "" {
+			value = sourcedValue{text: s.defaultValue, source: "default"}
 		}
-		if !ok && s.fallback == "" {
-			if !s.optional && (s.roles == "" || s.roles == role) {
+		if !ok && s.defaultValue == "" {
+			if !s.optional && (s.role == "" || s.role == role) {
 				problems = append(problems, fmt.Sprintf("%s: %s is missing; give %s", file, s.key, s.allowed))
 			}
 			continue
 		}
 		if !s.read(settings, value.text) {
-			problems = append(problems, fmt.Sprintf("%s: %s is %q; give %s", value.where, s.key, value.text, s.allowed))
+			problems = append(problems, fmt.Sprintf("%s: %s is %q; give %s", value.source, s.key, value.text, s.allowed))
 		}
 	}
 	return settings, problems
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -16,7 +16,7 @@
 
 func noEnvironment(string) (string, bool) { return "", false }
 
-// TestProblems reads the files of testdata: the section "file" is refused with each line of "problems".
+// TestProblems parses the files of testdata: the section "file" must be refused with each line of "problems".
 func TestProblems(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, archive *txtar.Archive) {
 		_, err := parse("s.yaml", archive.Files[0].Data, nil, noEnvironment)
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestExamplesAreRight(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, role := range []string{RoleEntry, RoleAgent} {
 		s, err := Load(filepath.Join("..", "..", "docs", "examples", role+".yaml"), nil, noEnvironment)
 		assert.NilError(t, err)
--- a/internal/vmlist/doc.go
+++ b/internal/vmlist/doc.go
@@ -1,2 +1,2 @@
-// Package vmlist is the port to the platform's lagging list of VMs.
+// Package vmlist reads the platform's list of VMs, which lags behind.
 package vmlist
--- a/internal/vmlist/http.go
+++ b/internal/vmlist/http.go
@@ -13,7 +13,7 @@
 
 const callTimeout = 2 * time.Second
 
-// Wire is a line as the platform writes it.
+// Wire is the JSON form of a line of the list.
 type Wire struct {
 	Instance string `json:"instance"`
 	Hall     string `json:"hall"`
@@ -21,13 +21,13 @@
 	State    string `json:"state"`
 }
 
-// HTTP is the adapter to the list over HTTP.
+// HTTP reads the list over HTTP.
 type HTTP struct {
 	client  *fasthttp.HostClient
 	address string
 }
 
-// NewHTTP returns the adapter to the list at an address of the form host:port.
+// NewHTTP returns the client of the list at an address of the form host:port.
 func NewHTTP(address string) *HTTP {
 	return &HTTP{address: address, client: httpclient.New(address, callTimeout)}
 }
@@ -46,7 +46,7 @@
 	}
 	var wires []Wire
 	if err := json.Unmarshal(response.Body(), &wires); err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "the list of VMs cannot be understood")
+		return nil, fault.Wrap(err, fault.Internal, "the list of VMs cannot be decoded")
 	}
 	return decode(wires), nil
 }
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -7,17 +7,17 @@
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// State is what the list says of a VM.
+// State is the state of a VM according to the list.
 type State int
 
-// The states of a VM; one that the list no longer names, or names as gone, has ended.
+// The states of a VM; a VM that is missing in the list, or listed as gone, has ended.
 const (
 	Live    State = iota // live
 	Leaving              // leaving
 	Gone                 // gone
 )
 
-// RacksPerCell is how many whole racks make a cell, so that a cell has at most 32 workers of one hall.
+// RacksPerCell is the number of whole racks in a cell, so that a cell has at most 32 workers of one hall.
 const RacksPerCell = 10
 
 // VM is one line of the list.
@@ -33,7 +33,7 @@
 	return VM{instance, hall, rack, state}
 }
 
-// Instance returns the name of the VM instance, which is never used again.
+// Instance returns the name of the VM instance, which is never reused.
 func (v VM) Instance() string { return v.instance }
 
 // Hall returns the hall of the VM.
@@ -42,7 +42,7 @@
 // Rack returns the rack, from 1.
 func (v VM) Rack() int { return v.rack }
 
-// State returns what the list says of the VM.
+// State returns the state of the VM according to the list.
 func (v VM) State() State { return v.state }
 
 // Cell returns the cell of the VM.
@@ -55,6 +55,6 @@
 
 // List is the platform's list of worker VMs, which lags and may be wrong.
 type List interface {
-	// VMs returns the lines of the list; an error of kind Unavailable says that it cannot be had.
+	// VMs returns the lines of the list; an error of kind Unavailable means that the list cannot be read.
 	VMs(ctx context.Context) ([]VM, error)
 }
