--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -47,7 +47,7 @@
 	return (*c.services.Load())[service]
 }
 
-// Counts returns how many endpoints of each service take requests.
+// Counts returns the number of endpoints of each service that accept requests.
 func (c *Catalog) Counts() map[string]int {
 	counts := make(map[string]int)
 	for service, endpoints := range *c.services.Load() {
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -65,9 +65,9 @@
 		defaultText := s.Default()
 		switch {
 		case s.IsOptional():
-			defaultText = "optional"
+			defaultText = "may be omitted"
 		case defaultText == "":
-			defaultText = "required"
+			defaultText = "must be given"
 		}
 		fmt.Fprintf(out, "%s (%s)\n    %s Give %s. Environment: %s.\n", s.Key(), defaultText, s.Description(), s.Allowed(), s.Environment())
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -63,7 +63,7 @@
 	done          chan struct{}
 	leaving       atomic.Bool
 	inFlight      atomic.Int64
-	requestIDs    requestIDs
+	requestIDs    requestIDGenerator
 	// refusals limits the rate at which refused requests are recorded on the timeline.
 	refusals *rate.Limiter
 
@@ -79,7 +79,7 @@
 		tableDocument: store.NewDocument(config.Store, leader.TableKey, leader.TableCodec()),
 		done:          make(chan struct{}),
 		budgets:       make(map[string]*routing.RetryBudget),
-		requestIDs:    newRequestIDs(config.ID),
+		requestIDs:    newRequestIDGenerator(config.ID),
 
 		refusals: rate.NewLimiter(refusalsPerSecond, refusalsPerSecond),
 	}
@@ -90,8 +90,8 @@
 // Done returns the channel that is closed when the entry has ended.
 func (e *Entry) Done() <-chan struct{} { return e.done }
 
-// Ready reports whether the entry can serve: it is not stopping, has loaded the table, and either knows a leader of each
-// cell or still has endpoints.
+// Ready reports whether the entry can serve: the table is loaded, the entry is not stopping, and each cell has a leader or
+// there are still endpoints.
 func (e *Entry) Ready() bool {
 	_, _, loaded := e.tableDocument.Current()
 	return loaded && !e.leaving.Load() && (e.catalog.HasLeaders() || len(e.catalog.AgentEndpoints()) > 0)
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -14,7 +14,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// HeaderTableVersion carries the version of a table.
+// HeaderTableVersion is the response header with the version of the table.
 const HeaderTableVersion = "X-Table-Version"
 
 const (
--- a/internal/entry/requestids.go
+++ b/internal/entry/requestids.go
@@ -7,16 +7,16 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// requestIDs generates request IDs that are unique across processes and their restarts.
-type requestIDs struct {
+// requestIDGenerator generates request IDs that are unique across processes and their restarts.
+type requestIDGenerator struct {
 	prefix string
 	last   *atomic.Uint64
 }
 
-func newRequestIDs(entry string) requestIDs {
-	return requestIDs{prefix: entry + "-" + ulid.Make().String() + "-", last: &atomic.Uint64{}}
+func newRequestIDGenerator(entry string) requestIDGenerator {
+	return requestIDGenerator{prefix: entry + "-" + ulid.Make().String() + "-", last: &atomic.Uint64{}}
 }
 
-func (n requestIDs) next() string {
-	return n.prefix + strconv.FormatUint(n.last.Add(1), 36)
+func (g requestIDGenerator) next() string {
+	return g.prefix + strconv.FormatUint(g.last.Add(1), 36)
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -51,17 +51,17 @@
 func (g *Gate) SetReplicas(wanted []Replica) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	replicas := make(map[string]*replica, len(wanted))
+	updated := make(map[string]*replica, len(wanted))
 	for _, w := range wanted {
 		old, ok := g.replicas[w.Service]
 		if ok && old.address == w.Address {
 			old.configure(w.Slots, w.Queue, w.Target)
-			replicas[w.Service] = old
+			updated[w.Service] = old
 			continue
 		}
-		replicas[w.Service] = newReplica(w.Service, w.Address, w.Slots, w.Queue, w.Target)
+		updated[w.Service] = newReplica(w.Service, w.Address, w.Slots, w.Queue, w.Target)
 	}
-	g.replicas = replicas
+	g.replicas = updated
 }
 
 // Drain makes the replica of a service reject new requests and returns the number of its requests in flight.
--- a/internal/gate/replica.go
+++ b/internal/gate/replica.go
@@ -141,7 +141,7 @@
 	samples      int64
 }
 
-// Service returns the service.
+// Service returns the service of the replica.
 func (m Measurement) Service() string { return m.service }
 
 // LatencyRatio returns the 99th percentile of the latency as a share of the target.
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -42,7 +42,7 @@
 		}
 		defaultText := column.Default()
 		if defaultText == "" {
-			defaultText = "required"
+			defaultText = "must be given"
 		}
 		fmt.Fprintf(c.out, "%s (%s; %s)\n    %s Use %s.%s\n", column.Name(), strings.Join(kinds, ", "), defaultText,
 			column.Description(), column.Allowed(), unitText(column))
--- a/internal/settings/list.go
+++ b/internal/settings/list.go
@@ -42,7 +42,7 @@
 	return "SAFFRONPULLEY_" + strings.ToUpper(strings.ReplaceAll(s.key, ".", "_"))
 }
 
-// List returns all settings in the order of the page.
+// List returns all settings in the order of their documentation.
 func List() []Setting { return list }
 
 var list = []Setting{
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -8,7 +8,7 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind is what a row describes.
+// Kind is the kind of a row.
 type Kind int
 
 // The kinds of rows.
@@ -40,7 +40,7 @@
 // Workload returns the name of the workload, or of the team in a team's row.
 func (r Row) Workload() string { return r.workload }
 
-// Kind returns what the row describes.
+// Kind returns the kind of the row.
 func (r Row) Kind() Kind { return r.kind }
 
 // Team returns the team that the workload belongs to.
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -10,7 +10,7 @@
 // State is the state of a VM according to the list.
 type State int
 
-// The states of a VM; a VM that is missing in the list, or listed as gone, has ended.
+// The states of a VM; a VM that is missing from the list, or listed as gone, has ended.
 const (
 	Live    State = iota // live
 	Leaving              // leaving
