--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -65,7 +65,7 @@
 		defaultText := s.Default()
 		switch {
 		case s.IsOptional():
-			defaultText = "may be omitted"
+			defaultText = "may be left out"
 		case defaultText == "":
 			defaultText = "must be given"
 		}
