--- a/internal/link/doc.go
+++ b/internal/link/doc.go
@@ -1,2 +1,2 @@
-// Package link holds the messages that the processes send each other over JSON-RPC.
+// Package link defines the messages that the processes exchange over JSON-RPC.
 package link
--- a/internal/link/rows.go
+++ b/internal/link/rows.go
@@ -8,29 +8,29 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// Row is a run that a worker has, with a number that stands for its name on one connection: names are most of a report otherwise.
+// Row is the compact form of a running run. A number stands for its name on one connection, since names would make up most of a report.
 type Row struct {
-	number  uint64
-	percent int
-	figure  int
-	pace    int
-	fresh   bool
-	// checkpoint is empty where it is what the row had in the report before.
+	number      uint64
+	percent     int
+	measurement int
+	pace        int
+	starting    bool
+	// checkpoint is empty if unchanged since the previous report.
 	checkpoint string
 }
 
-// RowName gives a run the number by which rows name it from this report on.
+// RowName assigns to a run the number by which rows identify it from this report on.
 type RowName struct {
 	Run
 	Row uint64 `json:"n"`
 }
 
-// MarshalJSON writes the row as a list of its figures. Rows are most of what a lead reads, so they are written and read without reflection.
+// MarshalJSON encodes the row as a list. Rows are most of what a leader reads, so they are encoded and decoded without reflection.
 func (r Row) MarshalJSON() ([]byte, error) {
 	text := append(make([]byte, 0, rowBytes), '[')
 	text = strconv.AppendUint(text, r.number, 10)
-	for _, figure := range []int{r.percent, r.figure, r.pace, flag(r.fresh)} {
-		text = strconv.AppendInt(append(text, ','), int64(figure), 10)
+	for _, value := range []int{r.percent, r.measurement, r.pace, boolToInt(r.starting)} {
+		text = strconv.AppendInt(append(text, ','), int64(value), 10)
 	}
 	if r.checkpoint != "" {
 		checkpoint, err := json.Marshal(r.checkpoint)
@@ -42,39 +42,39 @@
 	return append(text, ']'), nil
 }
 
-// rowBytes is about how many bytes a row takes.
+// rowBytes is the approximate size of an encoded row in bytes.
 const rowBytes = 48
 
-func flag(on bool) int {
+func boolToInt(on bool) int {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// UnmarshalJSON reads such a list; the error is a BadInput.
+// UnmarshalJSON decodes a row from a list; errors are of kind BadInput.
 func (r *Row) UnmarshalJSON(data []byte) error {
 	rest, opened := bytes.CutPrefix(bytes.TrimSpace(data), []byte("["))
 	rest, closed := bytes.CutSuffix(rest, []byte("]"))
 	if !opened || !closed {
-		return fault.New(fault.BadInput, "a row of a report is no list")
+		return fault.New(fault.BadInput, "a row of a report is not a list")
 	}
-	var number, fresh int
-	more := true
-	for _, into := range []*int{&number, &r.percent, &r.figure, &r.pace, &fresh} {
-		var figure []byte
-		figure, rest, more = bytes.Cut(rest, []byte(","))
-		n, err := strconv.Atoi(string(bytes.TrimSpace(figure)))
+	var number, starting int
+	hasCheckpoint := true
+	for _, target := range []*int{&number, &r.percent, &r.measurement, &r.pace, &starting} {
+		var value []byte
+		value, rest, hasCheckpoint = bytes.Cut(rest, []byte(","))
+		n, err := strconv.Atoi(string(bytes.TrimSpace(value)))
 		if err != nil {
 			return fault.Wrap(err, fault.BadInput, "a row of a report cannot be read")
 		}
-		*into = n
+		*target = n
 	}
 	if number < 0 {
 		return fault.New(fault.BadInput, "a row of a report has number %d", number)
 	}
-	r.number, r.fresh = uint64(number), fresh == 1
-	if !more {
+	r.number, r.starting = uint64(number), starting == 1
+	if !hasCheckpoint {
 		return nil
 	}
 	if err := json.Unmarshal(rest, &r.checkpoint); err != nil {
@@ -83,35 +83,35 @@
 	return nil
 }
 
-// namedRow is a run that a number stands for, with its latest checkpoint.
+// namedRow is a run with its number and its latest checkpoint.
 type namedRow struct {
 	run        Run
 	number     uint64
 	checkpoint string
 }
 
-// RowWriter turns the runs of an agent's reports into rows, on one connection. What it writes counts only if the report is answered; else
-// the connection ends, and the writer with it.
+// RowWriter encodes the runs of an agent's reports as rows, on one connection. It assumes that each report is answered: after an
+// unanswered one the connection is closed and the writer discarded.
 type RowWriter struct {
-	named map[Run]namedRow
-	last  uint64
+	named      map[Run]namedRow
+	lastNumber uint64
 }
 
-// NewRowWriter returns the writer of a connection that has reported nothing.
+// NewRowWriter returns a writer for a new connection.
 func NewRowWriter() *RowWriter { return &RowWriter{named: make(map[Run]namedRow)} }
 
-// Write returns the runs of a report as rows, and the names that are new.
+// Write returns the runs of a report as rows, with the names of the runs that are new on the connection.
 func (w *RowWriter) Write(running []Running) ([]Row, []RowName) {
 	rows, names := make([]Row, 0, len(running)), []RowName(nil)
 	named := make(map[Run]namedRow, len(running))
 	for _, r := range running {
 		known, ok := w.named[r.Run]
 		if !ok || known.checkpoint != "" && r.Checkpoint == "" {
-			w.last++
-			known = namedRow{run: r.Run, number: w.last}
+			w.lastNumber++
+			known = namedRow{run: r.Run, number: w.lastNumber}
 			names = append(names, RowName{Run: r.Run, Row: known.number})
 		}
-		row := Row{number: known.number, percent: r.Percent, figure: r.Measurement, pace: r.Pace, fresh: r.Starting}
+		row := Row{number: known.number, percent: r.Percent, measurement: r.Measurement, pace: r.Pace, starting: r.Starting}
 		if r.Checkpoint != known.checkpoint {
 			row.checkpoint, known.checkpoint = r.Checkpoint, r.Checkpoint
 		}
@@ -122,16 +122,16 @@
 	return rows, names
 }
 
-// RowReader turns rows back into runs, on one connection.
+// RowReader decodes rows into runs, on one connection.
 type RowReader struct {
 	named map[uint64]namedRow
 }
 
-// NewRowReader returns the reader of a connection on which nothing was reported.
+// NewRowReader returns a reader for a new connection.
 func NewRowReader() *RowReader { return &RowReader{named: make(map[uint64]namedRow)} }
 
-// Read returns the runs of a report. A row without a name, as after a report that the reader never had, is a Conflict: the reader
-// guesses nothing, and the connection is of no use any more.
+// Read returns the runs of a report. A row whose number has no name, as after a lost report, is a Conflict; the connection must then be
+// closed.
 func (r *RowReader) Read(rows []Row, names []RowName) ([]Running, error) {
 	for _, n := range names {
 		r.named[n.Row] = namedRow{run: n.Run, number: n.Row}
@@ -147,7 +147,7 @@
 		}
 		named[row.number] = known
 		running = append(running, Running{
-			Run: known.run, Percent: row.percent, Measurement: row.figure, Pace: row.pace, Checkpoint: known.checkpoint, Starting: row.fresh,
+			Run: known.run, Percent: row.percent, Measurement: row.measurement, Pace: row.pace, Checkpoint: known.checkpoint, Starting: row.starting,
 		})
 	}
 	r.named = named
--- a/internal/link/rows_test.go
+++ b/internal/link/rows_test.go
@@ -11,7 +11,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// drawRunning draws the runs of a report: some of a few, each once.
+// drawRunning draws the runs of a report: up to 6 runs of distinct tasks.
 func drawRunning(t *rapid.T) []Running {
 	var running []Running
 	for n := range 6 {
@@ -28,21 +28,21 @@
 	return running
 }
 
-// sent brings rows and names over the wire.
-func sent(t *rapid.T, rows []Row, names []RowName) ([]Row, []RowName) {
-	var arrived Report
+// transmit encodes rows and names as JSON and decodes them again.
+func transmit(t *rapid.T, rows []Row, names []RowName) ([]Row, []RowName) {
+	var received Report
 	data, err := json.Marshal(Report{Rows: rows, RowNames: names})
 	if err == nil {
-		err = json.Unmarshal(data, &arrived)
+		err = json.Unmarshal(data, &received)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return arrived.Rows, arrived.RowNames
+	return received.Rows, received.RowNames
 }
 
-// TestRowsReadWhatWasWritten on each connection, which may end after any report, answered or not.
-func TestRowsReadWhatWasWritten(t *testing.T) {
+// TestRowsRoundTrip checks that rows decode to the written runs on each connection, which may be replaced before any report.
+func TestRowsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		writer, reader := NewRowWriter(), NewRowReader()
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
@@ -51,19 +51,19 @@
 			}
 			written := drawRunning(t)
 			rows, names := writer.Write(written)
-			read, err := reader.Read(sent(t, rows, names))
+			read, err := reader.Read(transmit(t, rows, names))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if fmt.Sprint(read) != fmt.Sprint(written) {
-				t.Fatalf("%v is read as %v", written, read)
+				t.Fatalf("wrote %v, read %v", written, read)
 			}
 		}
 	})
 }
 
-// TestRowsAreNeverGuessed: a reader that missed a report, that is new, or that has forgotten a name reads what was written or nothing.
-func TestRowsAreNeverGuessed(t *testing.T) {
+// TestReaderNeverMisidentifiesRuns checks that a reader that missed a report or was replaced returns the written runs or a Conflict.
+func TestReaderNeverMisidentifiesRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		writer, reader := NewRowWriter(), NewRowReader()
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
@@ -75,7 +75,7 @@
 			case 1:
 				continue
 			}
-			read, err := reader.Read(sent(t, rows, names))
+			read, err := reader.Read(transmit(t, rows, names))
 			if err != nil {
 				if !fault.Is(err, fault.Conflict) {
 					t.Fatal(err)
@@ -85,15 +85,15 @@
 			}
 			for i, r := range read {
 				if r.Run != written[i].Run {
-					t.Fatalf("%v is read as %v", written, read)
+					t.Fatalf("wrote %v, read %v", written, read)
 				}
 			}
 		}
 	})
 }
 
-// TestRowsAreShort: names are told once.
-func TestRowsAreShort(t *testing.T) {
+// TestRunNamesAreSentOnce checks that a known run is encoded without its name.
+func TestRunNamesAreSentOnce(t *testing.T) {
 	writer := NewRowWriter()
 	running := []Running{{Run: Run{Task: "4fb897e5e362af8c.0.1.1", Number: 2}, Percent: 50, Measurement: 3400, Pace: 100, Checkpoint: "00000bb87a21d94b"}}
 	_, names := writer.Write(running)
@@ -105,7 +105,7 @@
 	assert.Equal(t, string(data), "[[1,50,3400,100,0]]")
 }
 
-// FuzzRow: whatever stands in place of a row, it is read or refused.
+// FuzzRow checks that no input panics, whether it is decoded or rejected.
 func FuzzRow(f *testing.F) {
 	for _, seed := range []string{"[1,50,3400,100,0]", `[1,50,3400,100,1,"a"]`, "[]", "{}", "[-1,0,0,0,0]", `["",0,0,0,0]`} {
 		f.Add([]byte(seed))
@@ -118,7 +118,7 @@
 	})
 }
 
-// BenchmarkRead reads a report of 50 runs, as rows in 38 us and with all names in 102 us; rows that were read by reflection took 287 us.
+// BenchmarkRead decodes a report of 50 runs: 38 us as rows, 102 us with all names; decoding rows by reflection took 287 us.
 func BenchmarkRead(b *testing.B) {
 	var running []Running
 	for n := range 50 {
