--- a/internal/connection/doc.go
+++ b/internal/connection/doc.go
@@ -1,3 +1,3 @@
-// Package connection keeps all open connections to one address, so that what one call learns of the way there helps the
-// others: silence empties the pools, an answer ends what hangs on connections that are older than the silence.
+// Package connection tracks all open connections to one address across client pools: an unanswered call closes the idle connections,
+// and a later answer closes older connections that have stopped responding.
 package connection
--- a/internal/connection/set.go
+++ b/internal/connection/set.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// hangFactor times what the newest answer took is how long a connection must have been quiet to be held for silent: an
-	// address that has become slow for all is not a reason to ask anew.
-	hangFactor = 4
-	// leastQuiet bounds that from below, in time.
-	leastQuiet = 100 * time.Millisecond
+	// silenceFactor times the duration of the latest call is how long a connection must have been silent to be closed: when the
+	// address has become slow for all calls, nothing is gained by sending them again.
+	silenceFactor = 4
+	// minSilence is the lower bound of that time.
+	minSilence = 100 * time.Millisecond
 )
 
-// Set is all open connections to one address.
+// Set is the set of all open connections to one address.
 type Set struct {
 	address string
 	logger  logging.Logger
 
-	began time.Time
+	createdAt time.Time
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	clients []*fasthttp.HostClient
-	open    map[*tracked]struct{}
-	// silent is when a call last got no answer, zero once nothing is left that was waiting then.
-	silent time.Time
+	open    map[*trackedConn]struct{}
+	// unansweredAt is when a call last got no answer, zero once no connection that was waiting then is left.
+	unansweredAt time.Time
 }
 
-// NewSet returns the set of an address host:port, without connections.
+// NewSet returns an empty set for an address of the form host:port.
 func NewSet(address string, logger logging.Logger) *Set {
-	return &Set{address: address, logger: logger, began: time.Now(), open: make(map[*tracked]struct{})}
+	return &Set{address: address, logger: logger, createdAt: time.Now(), open: make(map[*trackedConn]struct{})}
 }
 
-// Client returns a client with a pool of its own, whose connections belong to the set.
+// Client returns a client with its own pool, whose connections belong to the set.
 func (s *Set) Client(timeout time.Duration) *fasthttp.HostClient {
 	client := httpclient.New(s.address, timeout)
 	client.Dial = nil
@@ -51,7 +51,7 @@
 	return client
 }
 
-// dial connects within a time, 0 for the usual one.
+// dial connects within a timeout, 0 for the default.
 func (s *Set) dial(address string, timeout time.Duration) (net.Conn, error) {
 	ctx := context.Background()
 	if timeout > 0 {
@@ -63,18 +63,18 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &tracked{Conn: stream, set: s, opened: time.Now()}
-	c.note(1)
+	c := &trackedConn{Conn: stream, set: s, openedAt: time.Now()}
+	c.recordActivity(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[c] = struct{}{}
 	return c, nil
 }
 
-// RecordNoAnswer takes note that a call got no answer: the connections that idle may be as silent as the one that it went by.
+// RecordNoAnswer records that a call got no answer, and closes idle connections, which may be just as unresponsive.
 func (s *Set) RecordNoAnswer() {
 	s.mu.Lock()
-	s.silent = time.Now()
+	s.unansweredAt = time.Now()
 	clients := s.clients
 	s.mu.Unlock()
 	for _, c := range clients {
@@ -82,37 +82,37 @@
 	}
 }
 
-// RecordAnswer takes note of an answer to a call that was made at a time. It proves the way, so calls that were waiting on other
-// connections when it was last found silent are ended, and can be made again.
-func (s *Set) RecordAnswer(asked time.Time) {
+// RecordAnswer records an answer to a call sent at a given time. The answer proves that the address can be reached, so connections that
+// have been silent since before the latest unanswered call are closed; the calls waiting on them fail and can be repeated.
+func (s *Set) RecordAnswer(sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silent.IsZero() {
+	if s.unansweredAt.IsZero() {
 		return
 	}
 	now := time.Now()
-	quiet := max(hangFactor*now.Sub(asked), leastQuiet)
-	waits := false
+	silenceLimit := max(silenceFactor*now.Sub(sentAt), minSilence)
+	pending := false
 	for c := range s.open {
-		last := s.began.Add(time.Duration(c.active.Load()))
+		lastActiveAt := s.createdAt.Add(time.Duration(c.lastActive.Load()))
 		switch {
-		case !last.Before(s.silent):
-		case now.Sub(last) < quiet:
-			waits = true
+		case !lastActiveAt.Before(s.unansweredAt):
+		case now.Sub(lastActiveAt) < silenceLimit:
+			pending = true
 		default:
-			s.logger.Warn("connection went silent and is closed; address=%s age_ms=%d quiet_ms=%d",
-				s.address, now.Sub(c.opened).Milliseconds(), now.Sub(last).Milliseconds())
+			s.logger.Warn("unresponsive connection closed; address=%s age_ms=%d quiet_ms=%d",
+				s.address, now.Sub(c.openedAt).Milliseconds(), now.Sub(lastActiveAt).Milliseconds())
 			delete(s.open, c)
 			_ = c.Conn.Close()
 		}
 	}
-	if !waits {
-		s.silent = time.Time{}
+	if !pending {
+		s.unansweredAt = time.Time{}
 	}
 }
 
-// forget takes a connection out of the set.
-func (s *Set) forget(c *tracked) {
+// remove removes a connection from the set.
+func (s *Set) remove(c *trackedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
--- a/internal/connection/set_test.go
+++ b/internal/connection/set_test.go
@@ -13,55 +13,55 @@
 	"github.com/saffronpulley/saffronpulley/internal/logging"
 )
 
-// silencer is a listener whose connections can go silent for good, without a reset, while new ones work.
-type silencer struct {
+// stallingListener is a listener whose accepted connections can be made to drop all writes without a reset, while new ones work.
+type stallingListener struct {
 	net.Listener
 
 	mu       sync.Mutex
-	accepted []*mutable
+	accepted []*stallableConn
 }
 
-type mutable struct {
+type stallableConn struct {
 	net.Conn
-	silent atomic.Bool
+	stalled atomic.Bool
 }
 
-// Write swallows what is written once the connection is silent.
-func (m *mutable) Write(b []byte) (int, error) {
-	if m.silent.Load() {
+// Write discards the bytes once the connection is stalled.
+func (m *stallableConn) Write(b []byte) (int, error) {
+	if m.stalled.Load() {
 		return len(b), nil
 	}
 	return m.Conn.Write(b)
 }
 
-// Accept keeps the connections that it returns.
-func (s *silencer) Accept() (net.Conn, error) {
+// Accept records the connections that it returns.
+func (s *stallingListener) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	m := &mutable{Conn: c}
+	m := &stallableConn{Conn: c}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.accepted = append(s.accepted, m)
 	return m, nil
 }
 
-// silence makes all connections that stand silent.
-func (s *silencer) silence() {
+// stallAll stalls all connections accepted so far.
+func (s *stallingListener) stallAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.accepted {
-		m.silent.Store(true)
+		m.stalled.Store(true)
 	}
 }
 
-// serve answers each request at once, but those for /watch only when the test ends.
-func serve(t *testing.T) (*silencer, string) {
+// serve answers each request at once, except requests for /watch, which it answers at the end of the test.
+func serve(t *testing.T) (*stallingListener, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &silencer{Listener: listener}
+	s := &stallingListener{Listener: listener}
 	ended := make(chan struct{})
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/watch" {
@@ -76,81 +76,81 @@
 	return s, listener.Addr().String()
 }
 
-// ask sends a request with a patience, as the callers of a set do.
-func ask(s *Set, client *fasthttp.HostClient, path string, patience time.Duration) error {
+// send sends a request with a timeout and records the result in the set, as the callers of a set do.
+func send(s *Set, client *fasthttp.HostClient, path string, timeout time.Duration) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	request.SetRequestURI("http://" + client.Addr + path)
-	request.SetTimeout(patience)
-	asked := time.Now()
+	request.SetTimeout(timeout)
+	sentAt := time.Now()
 	if err := client.Do(request, response); err != nil {
 		s.RecordNoAnswer()
 		return err
 	}
-	s.RecordAnswer(asked)
+	s.RecordAnswer(sentAt)
 	return nil
 }
 
 const (
-	patience = 150 * time.Millisecond
-	// soon bounds what must not wait for a time-out of its own.
-	soon = 2 * time.Second
-	// long is a patience that a test must not wait for.
-	long = 20 * time.Second
+	shortTimeout = 150 * time.Millisecond
+	// promptly bounds operations that must not wait for their own timeout.
+	promptly = 2 * time.Second
+	// longTimeout is a timeout that must not be reached in a test.
+	longTimeout = 20 * time.Second
 )
 
-// TestSilenceCostsOneTimeout failed while each idle connection of a pool cost a time-out of its own.
-func TestSilenceCostsOneTimeout(t *testing.T) {
+// TestUnresponsiveAddressCostsOneTimeout guards against each idle connection of a pool costing a timeout of its own.
+func TestUnresponsiveAddressCostsOneTimeout(t *testing.T) {
 	listener, address := serve(t)
 	set := NewSet(address, logging.Discard())
-	client := set.Client(long)
+	client := set.Client(longTimeout)
 	const idle = 5
 	var calls sync.WaitGroup
 	for range idle {
-		calls.Go(func() { _ = ask(set, client, "/watch", patience) })
+		calls.Go(func() { _ = send(set, client, "/watch", shortTimeout) })
 	}
 	calls.Wait()
 	for range idle {
-		calls.Go(func() { assert.Check(t, ask(set, client, "/", long)) })
+		calls.Go(func() { assert.Check(t, send(set, client, "/", longTimeout)) })
 	}
 	calls.Wait()
-	listener.silence()
-	assert.ErrorContains(t, ask(set, client, "/", patience), "timeout")
-	assert.NilError(t, ask(set, client, "/", patience))
-	assert.NilError(t, ask(set, client, "/", patience))
+	listener.stallAll()
+	assert.ErrorContains(t, send(set, client, "/", shortTimeout), "timeout")
+	assert.NilError(t, send(set, client, "/", shortTimeout))
+	assert.NilError(t, send(set, client, "/", shortTimeout))
 }
 
-// TestAnswerEndsWhatHangsOnOlderConnections failed while a watch on a silent connection waited for its own time-out, though
-// calls on new connections were answered.
-func TestAnswerEndsWhatHangsOnOlderConnections(t *testing.T) {
+// TestAnswerClosesUnresponsiveConnections guards against a watch on an unresponsive connection waiting for its own timeout although calls
+// on new connections are answered.
+func TestAnswerClosesUnresponsiveConnections(t *testing.T) {
 	listener, address := serve(t)
 	set := NewSet(address, logging.Discard())
-	calls, watches := set.Client(long), set.Client(long)
-	assert.NilError(t, ask(set, calls, "/", long))
+	calls, watches := set.Client(longTimeout), set.Client(longTimeout)
+	assert.NilError(t, send(set, calls, "/", longTimeout))
 	ended := make(chan error, 1)
-	go func() { ended <- ask(set, watches, "/watch", long) }()
+	go func() { ended <- send(set, watches, "/watch", longTimeout) }()
 	for listener.count() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	listener.silence()
-	assert.ErrorContains(t, ask(set, calls, "/", patience), "timeout")
-	assert.NilError(t, ask(set, calls, "/", long))
+	listener.stallAll()
+	assert.ErrorContains(t, send(set, calls, "/", shortTimeout), "timeout")
+	assert.NilError(t, send(set, calls, "/", longTimeout))
 	select {
 	case err := <-ended:
 		assert.Assert(t, err != nil)
-	case <-time.After(soon):
-		t.Fatal("the watch hangs on")
+	case <-time.After(promptly):
+		t.Fatal("the watch is still waiting")
 	}
 }
 
-// TestWatchGoesOnWhileAllIsAnswered holds an answer against nothing that merely waits.
-func TestWatchGoesOnWhileAllIsAnswered(t *testing.T) {
+// TestWatchContinuesWhileCallsAreAnswered checks that an answer closes no connection that is merely waiting.
+func TestWatchContinuesWhileCallsAreAnswered(t *testing.T) {
 	_, address := serve(t)
 	set := NewSet(address, logging.Discard())
-	calls, watches := set.Client(long), set.Client(long)
+	calls, watches := set.Client(longTimeout), set.Client(longTimeout)
 	ended := make(chan error, 1)
-	go func() { ended <- ask(set, watches, "/watch", long) }()
-	for began := time.Now(); time.Since(began) < 2*leastQuiet; {
-		assert.NilError(t, ask(set, calls, "/", long))
+	go func() { ended <- send(set, watches, "/watch", longTimeout) }()
+	for start := time.Now(); time.Since(start) < 2*minSilence; {
+		assert.NilError(t, send(set, calls, "/", longTimeout))
 	}
 	select {
 	case err := <-ended:
@@ -159,8 +159,8 @@
 	}
 }
 
-// count returns how many connections were made.
-func (s *silencer) count() int {
+// count returns how many connections were accepted.
+func (s *stallingListener) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.accepted)
--- a/internal/connection/tracked.go
+++ b/internal/connection/tracked.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// tracked is a connection of which the set knows when bytes last moved.
-type tracked struct {
+// trackedConn is a connection that records when it last transferred bytes.
+type trackedConn struct {
 	net.Conn
-	set    *Set
-	opened time.Time
-	// active is when bytes last moved, in nanoseconds since the set began; the time of day may jump meanwhile.
-	active atomic.Int64
+	set      *Set
+	openedAt time.Time
+	// lastActive is when bytes were last transferred, as monotonic nanoseconds since the set was created; the wall clock may jump.
+	lastActive atomic.Int64
 }
 
-// Read reads bytes and takes note of when they came.
-func (c *tracked) Read(b []byte) (int, error) {
+// Read implements net.Conn and records when bytes arrive.
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.note(n)
+	c.recordActivity(n)
 	return n, err
 }
 
-// Write writes bytes and takes note of when they left.
-func (c *tracked) Write(b []byte) (int, error) {
+// Write implements net.Conn and records when bytes are sent.
+func (c *trackedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.note(n)
+	c.recordActivity(n)
 	return n, err
 }
 
-// Close ends the connection.
-func (c *tracked) Close() error {
-	c.set.forget(c)
+// Close implements net.Conn and removes the connection from the set.
+func (c *trackedConn) Close() error {
+	c.set.remove(c)
 	return c.Conn.Close()
 }
 
-// note takes note of bytes that moved just now.
-func (c *tracked) note(n int) {
+// recordActivity records the current time if bytes were transferred.
+func (c *trackedConn) recordActivity(n int) {
 	if n > 0 {
-		c.active.Store(int64(time.Since(c.set.began)))
+		c.lastActive.Store(int64(time.Since(c.set.createdAt)))
 	}
 }
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -11,10 +11,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// MaxMessage is the largest message in bytes that is read from a connection.
+// MaxMessage is the size in bytes of the largest message that is read from a connection.
 const MaxMessage = 2 << 20
 
-// boundedCodec frames messages like the library's varint codec and refuses those over MaxMessage.
+// boundedCodec frames messages like the library's varint codec and rejects messages larger than MaxMessage.
 type boundedCodec struct{ jsonrpc2.VarintObjectCodec }
 
 // ReadObject implements jsonrpc2.ObjectCodec.
@@ -29,13 +29,13 @@
 	return json.NewDecoder(io.LimitReader(stream, int64(size))).Decode(v)
 }
 
-// envelope is a message body with the sender's clock.
+// envelope is a message body with the sender's logical clock.
 type envelope struct {
 	Clock uint64          `json:"c,omitempty"`
 	Body  json.RawMessage `json:"b"`
 }
 
-// errorData is what an error carries besides its sentence.
+// errorData is the data of a JSON-RPC error besides its message.
 type errorData struct {
 	RetryAfterMillis int64 `json:"retry_after_ms"`
 }
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -1,3 +1,2 @@
-// Package rpc carries typed JSON-RPC 2.0 calls between the processes of the
-// system, in both directions of one connection.
+// Package rpc implements typed JSON-RPC 2.0 calls between processes, in both directions of one connection.
 package rpc
--- a/internal/rpc/limits_test.go
+++ b/internal/rpc/limits_test.go
@@ -16,9 +16,9 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-// TestConnectionOverTheLimitIsRefusedAloud plays what the agents of a fleet saw: a leader took 512 connections and closed each further one without
-// a word, so that 800 agents tried again several times a second and hundreds of workers were never used.
-func TestConnectionOverTheLimitIsRefusedAloud(t *testing.T) {
+// TestConnectionOverTheLimitIsRefusedWithAReason guards against a fault seen with a large fleet: a leader took 512 connections and closed
+// each further one without an answer, so that 800 agents retried several times a second and hundreds of workers stayed unused.
+func TestConnectionOverTheLimitIsRefusedWithAReason(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	var refused atomic.Int32
@@ -42,13 +42,13 @@
 	for s.Peers() != count {
 		select {
 		case <-t.Context().Done():
-			t.Fatalf("%d peers in place of %d", s.Peers(), count)
+			t.Fatalf("got %d peers, want %d", s.Peers(), count)
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// failingListener fails to accept a few times, as where a process has no descriptor left.
+// failingListener fails to accept a few times, like a process without free file descriptors.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int32
@@ -61,7 +61,7 @@
 	return l.Listener.Accept()
 }
 
-// TestServerAcceptsAgainOnceDescriptorsAreFree: a server that ran out of them for a moment took no connection any more.
+// TestServerAcceptsAgainOnceDescriptorsAreFree guards against a server that stops accepting after it ran out of descriptors once.
 func TestServerAcceptsAgainOnceDescriptorsAreFree(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -76,26 +76,27 @@
 	p.Close()
 }
 
-// Sizes of a fleet of twice the largest known one.
+// Sizes of a fleet of twice the largest known size.
 const (
 	fleetAgents  = 1600
 	fleetEntries = 368
 )
 
-// TestServerHoldsAConnectionOfEachProcessOfAFleet, over loopback, within what the smallest VM of an entry has: it logs the memory of a connection.
-func TestServerHoldsAConnectionOfEachProcessOfAFleet(t *testing.T) {
-	const most = fleetAgents + fleetEntries
+// TestServerServesAFleet opens a connection over loopback for each process of a fleet and logs the memory that a connection takes, which
+// must fit the smallest VM of an entry.
+func TestServerServesAFleet(t *testing.T) {
+	const connections = fleetAgents + fleetEntries
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	m := NewMux(timeline.NewClock(time.Now))
 	Handle(m, "echo", func(_ context.Context, _ *Peer, s text) (text, error) { return s, nil })
 	var refused atomic.Int32
-	s := Serve(listener, "", m, Limits{Peers: most, OnRefused: func() { refused.Add(1) }})
+	s := Serve(listener, "", m, Limits{Peers: connections, OnRefused: func() { refused.Add(1) }})
 	t.Cleanup(s.Close)
 	before := memoryInUse()
 	var group errgroup.Group
 	group.SetLimit(32)
-	for range most {
+	for range connections {
 		group.Go(func() error {
 			p, err := Dial(t.Context(), listener.Addr().String(), "", NewMux(timeline.NewClock(time.Now)))
 			if err != nil {
@@ -108,10 +109,10 @@
 	}
 	assert.NilError(t, group.Wait())
 	assert.Equal(t, refused.Load(), int32(0))
-	awaitPeers(t, s, most)
+	awaitPeers(t, s, connections)
 	// Both ends of each connection are in this process.
 	const ends = 2
-	t.Logf("%d connections, %d bytes an end", most, (memoryInUse()-before)/most/ends)
+	t.Logf("%d connections, %d bytes an end", connections, (memoryInUse()-before)/connections/ends)
 }
 
 // memoryInUse returns the bytes of live objects and of stacks.
--- a/internal/rpc/mux.go
+++ b/internal/rpc/mux.go
@@ -18,12 +18,12 @@
 	handlers map[string]rawHandler
 }
 
-// NewMux returns a mux whose messages carry the given clock.
+// NewMux returns a mux whose messages carry the time of the given clock.
 func NewMux(clock *timeline.Clock) *Mux {
 	return &Mux{clock: clock, handlers: make(map[string]rawHandler)}
 }
 
-// Handle registers the handler of a method; all are registered before the mux is used.
+// Handle registers the handler of a method; all methods must be registered before the mux is used.
 func Handle[Req, Res any](m *Mux, method string, handle func(context.Context, *Peer, Req) (Res, error)) {
 	m.handlers[method] = func(ctx context.Context, p *Peer, params json.RawMessage) (any, error) {
 		var request Req
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, fault.KindOf(err), fault.Unauthorized)
 }
 
-func TestLostConnectionLeavesDoubt(t *testing.T) {
+func TestLostConnectionMakesTheOutcomeUnknown(t *testing.T) {
 	s, _ := serve(t, "a secret")
 	p, err := dial(t, s, "a secret")
 	assert.NilError(t, err)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -15,60 +15,60 @@
 
 const (
 	helloTimeout = 5 * time.Second
-	// refusalTimeout bounds how long a refused connection stays open for its peer to read why.
+	// refusalTimeout bounds how long a refused connection stays open for its peer to read the reason.
 	refusalTimeout = time.Second
-	// mostRefusals is how many connections are being refused at once; the others are closed without an answer.
-	mostRefusals = 64
-	// acceptPause lies between two attempts to accept a connection while the process has no descriptor left.
-	acceptPause = 50 * time.Millisecond
-	// leastPeers is taken where the process cannot tell how many descriptors it may open.
-	leastPeers = 512
-	// DefaultRetryAfter is when a refused peer may return where the limits do not say.
+	// maxRefusals is how many connections may be in refusal at once; further ones are closed without an answer.
+	maxRefusals = 64
+	// acceptRetryDelay is the delay between attempts to accept a connection while the process has no free file descriptor.
+	acceptRetryDelay = 50 * time.Millisecond
+	// fallbackPeers is the limit if the number of descriptors that the process may open is unknown.
+	fallbackPeers = 512
+	// DefaultRetryAfter is the default delay after which a refused peer may reconnect.
 	DefaultRetryAfter = 2 * time.Second
 )
 
-var bytesMoved atomic.Int64
+var bytesTransferred atomic.Int64
 
-// BytesTransferred returns the bytes read and written by all connections of the process so far.
-func BytesTransferred() int64 { return bytesMoved.Load() }
+// BytesTransferred returns the bytes read and written by all connections of the process.
+func BytesTransferred() int64 { return bytesTransferred.Load() }
 
 type countedConn struct{ net.Conn }
 
-// Read counts what it reads.
+// Read implements net.Conn and counts the bytes.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	bytesMoved.Add(int64(n))
+	bytesTransferred.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write implements net.Conn and counts the bytes.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	bytesMoved.Add(int64(n))
+	bytesTransferred.Add(int64(n))
 	return n, err
 }
 
-// Limits bound the connections of a server.
+// Limits bounds the connections of a server.
 type Limits struct {
-	// Peers is how many connections are held at once; above 0.
+	// Peers is the maximum number of open connections; above 0.
 	Peers int
-	// RetryAfter is when a refused peer may return, 0 for DefaultRetryAfter.
+	// RetryAfter is the delay after which a refused peer may reconnect, 0 for DefaultRetryAfter.
 	RetryAfter time.Duration
-	// OnRefused is called for each connection that is refused, nil for no call.
+	// OnRefused, if set, is called for each refused connection.
 	OnRefused func()
 }
 
-// ProcessLimits returns the limits of a process that is handed none: half of the descriptors that it may open.
+// ProcessLimits returns the limits for a process without configured ones: half of the descriptors that it may open.
 func ProcessLimits() Limits {
-	const share = 2
+	const divisor = 2
 	var descriptors syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil || descriptors.Cur < share {
-		return Limits{Peers: leastPeers}
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil || descriptors.Cur < divisor {
+		return Limits{Peers: fallbackPeers}
 	}
-	return Limits{Peers: int(min(descriptors.Cur/share, math.MaxInt32))}
+	return Limits{Peers: int(min(descriptors.Cur/divisor, math.MaxInt32))}
 }
 
-// Server accepts peers on a listener.
+// Server accepts connections of peers on a listener.
 type Server struct {
 	listener net.Listener
 	secret   string
@@ -81,11 +81,11 @@
 
 	mu    sync.Mutex
 	peers map[*Peer]struct{}
-	// refusals counts the connections that are being refused.
+	// refusals is the number of connections that are being refused.
 	refusals int
 }
 
-// Serve starts to accept peers on the listener; those over the limit are refused as Overloaded with when to return.
+// Serve starts accepting peers on the listener; those above the limit are refused as Overloaded with a retry delay.
 func Serve(listener net.Listener, secret string, m *Mux, limits Limits) *Server {
 	if limits.RetryAfter == 0 {
 		limits.RetryAfter = DefaultRetryAfter
@@ -98,17 +98,17 @@
 	return s
 }
 
-// Peers returns how many connections are open.
+// Peers returns the number of open connections.
 func (s *Server) Peers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.peers)
 }
 
-// Done returns the channel that is closed when the server accepts no more.
+// Done returns the channel that is closed when the server has stopped accepting.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Close stops accepting and ends all connections.
+// Close stops accepting and closes all connections.
 func (s *Server) Close() {
 	s.closed.Do(func() { close(s.closing) })
 	_ = s.listener.Close()
@@ -128,9 +128,9 @@
 		case err == nil:
 			s.admit(stream)
 		case outOfDescriptors(err):
-			// A server that stopped here would never accept again, though descriptors are freed within moments.
+			// Descriptors are usually freed soon; a server that returned here would never accept again.
 			s.countRefusal()
-			if !s.pause() {
+			if !s.waitToRetry() {
 				return
 			}
 		default:
@@ -139,12 +139,12 @@
 	}
 }
 
-// pause waits a while, and reports whether the server is still open then.
-func (s *Server) pause() bool {
+// waitToRetry waits for the retry delay and reports whether the server is still open afterwards.
+func (s *Server) waitToRetry() bool {
 	select {
 	case <-s.closing:
 		return false
-	case <-time.After(acceptPause):
+	case <-time.After(acceptRetryDelay):
 		return true
 	}
 }
@@ -162,19 +162,19 @@
 	}
 	p := newPeer(stream, s.secret, s.mux, nil)
 	s.peers[p] = struct{}{}
-	go s.watch(p)
+	go s.monitor(p)
 }
 
-// refuse answers the greeting of a connection with why it is closed; s is locked.
+// refuse answers the hello message of a connection with the reason why it is closed; s.mu is held.
 func (s *Server) refuse(stream net.Conn) {
 	s.countRefusal()
-	if s.refusals >= mostRefusals {
+	if s.refusals >= maxRefusals {
 		_ = stream.Close()
 		return
 	}
 	s.refusals++
-	full := fault.New(fault.Overloaded, "all %d connections for other processes are taken", s.limits.Peers).WithRetryAfter(s.limits.RetryAfter)
-	p := newPeer(stream, s.secret, s.mux, full)
+	overloaded := fault.New(fault.Overloaded, "all %d connections for other processes are in use", s.limits.Peers).WithRetryAfter(s.limits.RetryAfter)
+	p := newPeer(stream, s.secret, s.mux, overloaded)
 	go func() {
 		timer := time.AfterFunc(refusalTimeout, p.Close)
 		<-p.Done()
@@ -191,9 +191,9 @@
 	}
 }
 
-func (s *Server) watch(p *Peer) {
+func (s *Server) monitor(p *Peer) {
 	timer := time.AfterFunc(helloTimeout, func() {
-		if !p.trusted.Load() {
+		if !p.authenticated.Load() {
 			p.Close()
 		}
 	})
