--- a/internal/fleettest/store_test.go
+++ b/internal/fleettest/store_test.go
@@ -51,7 +51,7 @@
 	}
 	if s.left == 0 {
 		s.refused++
-		return fault.New(fault.Overloaded, "refused for its rate")
+		return fault.New(fault.Overloaded, "rate limited")
 	}
 	s.left--
 	return nil
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// New returns a client that never sends a request twice and marks failed dials as Unavailable.
+// New returns a client that never sends a request twice and whose failed dials are of kind DialError.
 func New(address string, timeout time.Duration) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -23,11 +23,11 @@
 	}
 }
 
-// Deadline returns the end of ctx, or the end of the timeout if that is earlier.
+// Deadline returns the earlier of the deadline of ctx and the end of the timeout.
 func Deadline(ctx context.Context, timeout time.Duration) time.Time {
-	latest := time.Now().Add(timeout)
-	if end, ok := ctx.Deadline(); ok && end.Before(latest) {
+	deadline := time.Now().Add(timeout)
+	if end, ok := ctx.Deadline(); ok && end.Before(deadline) {
 		return end
 	}
-	return latest
+	return deadline
 }
--- a/internal/httpclient/dial.go
+++ b/internal/httpclient/dial.go
@@ -14,42 +14,42 @@
 
 const (
 	dialTimeout = time.Second
-	// probeEvery is how often a connection on which nothing moves is probed; the kernel counts in whole seconds.
-	probeEvery = time.Second
-	// unansweredProbes end a connection.
-	unansweredProbes = 2
-	// unacknowledgedFor is how long bytes that were sent, or a probe, may go without an acknowledgement of the other side.
-	unacknowledgedFor = 2 * time.Second
+	// probeInterval is how often an idle connection is probed; the kernel counts in whole seconds.
+	probeInterval = time.Second
+	// maxUnansweredProbes is how many unanswered probes end a connection.
+	maxUnansweredProbes = 2
+	// acknowledgementTimeout is how long sent bytes or a probe may remain unacknowledged by the peer.
+	acknowledgementTimeout = 2 * time.Second
 )
 
-// source is the address from which all connections of the process are made, nil for any.
-var source net.Addr
+// sourceAddress is the local address of all connections of the process, nil for any.
+var sourceAddress net.Addr
 
-// BindSource makes all connections of the process come from an IP number; it is called once, before the first.
+// BindSource sets the source address of all connections of the process; it must be called once, before the first connection.
 func BindSource(address netip.Addr) {
 	if address.IsValid() {
-		source = net.TCPAddrFromAddrPort(netip.AddrPortFrom(address, 0))
+		sourceAddress = net.TCPAddrFromAddrPort(netip.AddrPortFrom(address, 0))
 	}
 }
 
-// DialError is a connection that could not be made, so that nothing was sent.
+// DialError is a failure to connect, after which nothing was sent.
 type DialError struct{ cause error }
 
-// Error returns the sentence of the error.
+// Error returns the message of the error.
 func (e *DialError) Error() string { return "cannot connect: " + e.cause.Error() }
 
 // Unwrap returns the cause of the error.
 func (e *DialError) Unwrap() error { return e.cause }
 
-// NotSent reports whether err says that not a byte of the request was sent.
+// NotSent reports whether err means that no byte of the request was sent.
 func NotSent(err error) bool {
 	var e *DialError
 	return errors.As(err, &e) || errors.Is(err, fasthttp.ErrNoFreeConns)
 }
 
-// Dial connects to an address host:port within a second; a failure is a DialError.
+// Dial connects to an address of the form host:port within a second; a failure is a DialError.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: source, KeepAliveConfig: Probes(), Control: endUnacknowledged}
+	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: sourceAddress, KeepAliveConfig: Probes(), Control: setUserTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, &DialError{cause: err}
@@ -59,16 +59,16 @@
 
 func dial(address string) (net.Conn, error) { return Dial(context.Background(), address) }
 
-// Probes returns how connections are probed, so that one whose other side is gone without a word ends within seconds.
+// Probes returns the keep-alive settings, under which a connection whose peer has vanished without a reset ends within seconds.
 func Probes() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: unansweredProbes}
+	return net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: maxUnansweredProbes}
 }
 
-// endUnacknowledged makes the kernel end a connection whose bytes are not acknowledged for long.
-func endUnacknowledged(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout makes the kernel end a connection whose bytes are not acknowledged in time.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedFor.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(acknowledgementTimeout.Milliseconds()))
 	})
-	return errors.CombineErrors(err, failed)
+	return errors.CombineErrors(err, optionErr)
 }
--- a/internal/httpclient/doc.go
+++ b/internal/httpclient/doc.go
@@ -1,3 +1,3 @@
-// Package httpclient makes the HTTP clients of the adapters, which never send a
-// request twice on their own and tell a request not sent from an answer lost.
+// Package httpclient creates HTTP clients that never repeat a request on their own and distinguish a request that was not sent from a
+// lost answer.
 package httpclient
--- a/internal/kv/health_test.go
+++ b/internal/kv/health_test.go
@@ -45,7 +45,7 @@
 func TestRefusalForTheRateIsAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
-		refused := fault.New(fault.Overloaded, "refused for its rate")
+		refused := fault.New(fault.Overloaded, "rate limited")
 		for range 10 {
 			h.Record(time.Now(), refused)
 			time.Sleep(90 * time.Millisecond)
@@ -70,7 +70,7 @@
 		var h Health
 		h.MarkRejected()
 		assert.Assert(t, !h.Down(), "nothing was refused")
-		h.Record(time.Now(), fault.New(fault.Overloaded, "refused for its rate"))
+		h.Record(time.Now(), fault.New(fault.Overloaded, "rate limited"))
 		first := h.limited
 		h.MarkRejected()
 		assert.Assert(t, h.Down() && !h.Limited())
--- a/internal/relay/availability.go
+++ b/internal/relay/availability.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// SetUnavailable takes note that the store was found to answer nobody: calls that are under way are given up, and others refused at
-// once, for a while or until SetBack.
-func (s *Store) SetUnavailable(lasts time.Duration) {
+// SetUnavailable records that the store answers no process: pending calls are canceled and new ones refused at once, for a duration
+// or until SetAvailable.
+func (s *Store) SetUnavailable(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !time.Now().Before(s.away) {
-		s.end()
-		s.serving, s.end = context.WithCancel(context.Background())
+	if !time.Now().Before(s.unavailableUntil) {
+		s.cancelCalls()
+		s.callContext, s.cancelCalls = context.WithCancel(context.Background())
 	}
-	s.found = time.Now()
-	s.away = s.found.Add(lasts)
+	s.unavailableSince = time.Now()
+	s.unavailableUntil = s.unavailableSince.Add(duration)
 }
 
-// SetAvailable takes note that the store answers again, or that this is not known.
+// SetAvailable records that the store answers again, or that its state is unknown.
 func (s *Store) SetAvailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away, s.down = time.Time{}, time.Time{}
+	s.unavailableUntil, s.downSince = time.Time{}, time.Time{}
 }
 
-// onAway calls a function once the store is found to be away, unless the returned function is called before.
-func (s *Store) onAway(call func()) func() bool {
+// onUnavailable registers a function to be called once the store becomes unavailable; the returned function unregisters it.
+func (s *Store) onUnavailable(call func()) func() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return context.AfterFunc(s.serving, call)
+	return context.AfterFunc(s.callContext, call)
 }
 
-// enter reports whether a call may be tried: while the store is down, one at a time, and not too often.
-func (s *Store) enter() bool {
+// admit reports whether a call may be tried. While the store is down, one call at a time may, at intervals of at least downDuration.
+func (s *Store) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.away) && !s.health.LastAnswer().After(s.found) {
+	if time.Now().Before(s.unavailableUntil) && !s.health.LastAnswer().After(s.unavailableSince) {
 		return false
 	}
-	if s.down.IsZero() {
+	if s.downSince.IsZero() {
 		return true
 	}
-	if s.trying || time.Since(s.down) < downFor {
+	if s.probing || time.Since(s.downSince) < downDuration {
 		return false
 	}
-	s.trying = true
+	s.probing = true
 	return true
 }
 
-// leave takes note of whether any way to the store gave an answer.
-func (s *Store) leave(answered bool) {
+// recordOutcome records whether any path to the store gave an answer.
+func (s *Store) recordOutcome(answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trying = false
-	s.down = time.Time{}
+	s.probing = false
+	s.downSince = time.Time{}
 	if !answered {
-		s.down = time.Now()
+		s.downSince = time.Now()
 	}
 }
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay reaches the store through another entry while the store does not answer this process.
+// Package relay calls the store through another entry while the store does not answer this process.
 package relay
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -13,8 +13,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 )
 
-// dialPatience bounds how long a connection to an entry may take.
-const dialPatience = 300 * time.Millisecond
+// dialTimeout bounds connecting to an entry.
+const dialTimeout = 300 * time.Millisecond
 
 // Pool holds the addresses of the entries and open connections to them.
 type Pool struct {
@@ -26,25 +26,25 @@
 	mu        sync.Mutex
 	addresses []string
 	peers     map[string]*rpc.Peer
-	turn      int
+	next      int
 }
 
-// NewPool returns a pool that starts from some addresses, which may be stale; self is left out.
+// NewPool returns a pool with initial addresses, which may be stale; self is excluded.
 func NewPool(self, secret string, mux *rpc.Mux, addresses []string) *Pool {
 	p := &Pool{
 		self: self, secret: secret, mux: mux, dial: httpclient.Dial, peers: make(map[string]*rpc.Peer),
-		// Processes that start from the same addresses do not all turn to the first one.
-		turn: rand.IntN(math.MaxInt16), //nolint:gosec // not a secret
+		// Processes with the same addresses do not all start with the first one.
+		next: rand.IntN(math.MaxInt16), //nolint:gosec // not a secret
 	}
 	p.Add(addresses)
 	return p
 }
 
-// SetDialer sets how connections are made, before the first of them.
+// SetDialer sets the dialer; it must be called before the first connection.
 func (p *Pool) SetDialer(dial rpc.Dialer) { p.dial = dial }
 
-// mostAddresses bounds the list; the oldest go first.
-const mostAddresses = 64
+// maxAddresses bounds the list; the oldest addresses are removed first.
+const maxAddresses = 64
 
 // Add adds addresses of entries.
 func (p *Pool) Add(addresses []string) {
@@ -55,43 +55,43 @@
 			p.addresses = append(p.addresses, a)
 		}
 	}
-	if extra := len(p.addresses) - mostAddresses; extra > 0 {
+	if extra := len(p.addresses) - maxAddresses; extra > 0 {
 		p.addresses = slices.Delete(p.addresses, 0, extra)
 	}
 }
 
-// mostPeers is how many entries are tried in one round.
-const mostPeers = 3
+// maxPeers is how many entries are tried in one round.
+const maxPeers = 3
 
-// Peers returns open connections to at most so many entries, another first each time.
-func (p *Pool) Peers(ctx context.Context, most int) []*rpc.Peer {
+// Peers returns open connections to at most maxEntries entries, starting with another entry each time.
+func (p *Pool) Peers(ctx context.Context, maxEntries int) []*rpc.Peer {
 	p.mu.Lock()
 	addresses := slices.Clone(p.addresses)
-	p.turn++
-	turn := p.turn
+	p.next++
+	next := p.next
 	p.mu.Unlock()
-	var found []*rpc.Peer
+	var peers []*rpc.Peer
 	for i := range addresses {
-		peer, err := p.Peer(ctx, addresses[(turn+i)%len(addresses)])
+		peer, err := p.Peer(ctx, addresses[(next+i)%len(addresses)])
 		if err == nil {
-			found = append(found, peer)
+			peers = append(peers, peer)
 		}
-		if len(found) == most || ctx.Err() != nil {
+		if len(peers) == maxEntries || ctx.Err() != nil {
 			break
 		}
 	}
-	return found
+	return peers
 }
 
-// Try calls entries one after the other until a call succeeds, at most so many, and begins with the one that succeeded last. The error is that of
-// the last call.
-func (p *Pool) Try(ctx context.Context, most int, call func(*rpc.Peer) error) error {
+// Try calls at most maxEntries entries one after the other until a call succeeds, starting with the entry that succeeded last. It
+// returns the error of the last call.
+func (p *Pool) Try(ctx context.Context, maxEntries int, call func(*rpc.Peer) error) error {
 	err := error(fault.New(fault.Unavailable, "no entry is known"))
-	for _, address := range p.inTurn() {
-		if most == 0 || ctx.Err() != nil {
+	for _, address := range p.rotation() {
+		if maxEntries == 0 || ctx.Err() != nil {
 			break
 		}
-		most--
+		maxEntries--
 		var peer *rpc.Peer
 		if peer, err = p.Peer(ctx, address); err == nil {
 			err = call(peer)
@@ -102,32 +102,32 @@
 		if peer == nil || unanswered(err) {
 			p.Drop(address)
 		}
-		p.pass(address)
+		p.skip(address)
 	}
 	return err
 }
 
-// inTurn returns the addresses from the one whose turn it is on.
-func (p *Pool) inTurn() []string {
+// rotation returns the addresses in the order in which they are tried.
+func (p *Pool) rotation() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.addresses) == 0 {
 		return nil
 	}
-	turn := p.turn % len(p.addresses)
-	return slices.Concat(p.addresses[turn:], p.addresses[:turn])
+	next := p.next % len(p.addresses)
+	return slices.Concat(p.addresses[next:], p.addresses[:next])
 }
 
-// pass gives the turn of an address to the next.
-func (p *Pool) pass(address string) {
+// skip moves on to the next address if the given one is the first in the rotation.
+func (p *Pool) skip(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := len(p.addresses); n > 0 && p.addresses[p.turn%n] == address {
-		p.turn++
+	if n := len(p.addresses); n > 0 && p.addresses[p.next%n] == address {
+		p.next++
 	}
 }
 
-// Peer returns a connection to an address.
+// Peer returns an open connection to an address.
 func (p *Pool) Peer(ctx context.Context, address string) (*rpc.Peer, error) {
 	p.mu.Lock()
 	peer, known := p.peers[address]
@@ -139,7 +139,7 @@
 			return peer, nil
 		}
 	}
-	bounded, cancel := context.WithTimeout(ctx, dialPatience)
+	bounded, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	peer, err := rpc.DialWith(bounded, p.dial, address, p.secret, p.mux)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return peer, nil
 }
 
-// Drop closes the connection to an address, which did not answer.
+// Drop closes the connection to an address that did not answer.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,61 +15,61 @@
 )
 
 const (
-	// directLeast and directMost bound a call to the store; slow answers take some 250 ms and are worth waiting for, a silent
-	// connection is not.
-	directLeast = 150 * time.Millisecond
-	directMost  = 700 * time.Millisecond
-	// secondLeast is the least patience of the second attempt: a slow answer of the store.
-	secondLeast = 400 * time.Millisecond
-	// peerPatience bounds a call through an entry, which itself waits for the store: a slow answer of it, and two of the three
-	// entries that are tried may not answer.
-	peerPatience = 450 * time.Millisecond
-	// avoidFor is how long the store is not asked first after it was found to be away from this process.
-	avoidFor = time.Second
-	// pause lies between two rounds of attempts, and limitedFirst to limitedLast more where the store refuses calls for their rate.
-	pause        = 60 * time.Millisecond
-	limitedFirst = 60 * time.Millisecond
-	// limitedPause bounds the pause before an entry is asked in place of a store that refused a call for its rate.
-	limitedPause = 30 * time.Millisecond
-	limitedLast  = 500 * time.Millisecond
-	// patience bounds all attempts at one call: two slow answers of the store, and the caller is told when to return.
-	patience = 1500 * time.Millisecond
-	// downFor is how long calls are refused at once after no way to the store gave an answer; then one call tries.
-	downFor = 400 * time.Millisecond
+	// minDirectTimeout and maxDirectTimeout bound the timeout of a direct call to the store: slow answers take some 250 ms and are
+	// worth waiting for, a silent connection is not.
+	minDirectTimeout = 150 * time.Millisecond
+	maxDirectTimeout = 700 * time.Millisecond
+	// minSecondTimeout is the minimum timeout of the second direct attempt, enough for a slow answer of the store.
+	minSecondTimeout = 400 * time.Millisecond
+	// peerTimeout bounds a call through an entry, which itself waits for the store: it allows for a slow answer, and for two of the
+	// three entries tried not to answer.
+	peerTimeout = 450 * time.Millisecond
+	// avoidDuration is how long after a failed direct call the entries are tried before the store itself.
+	avoidDuration = time.Second
+	// roundDelay is the delay between rounds of attempts; minLimitedDelay and maxLimitedDelay bound the backoff added under rate limiting.
+	roundDelay      = 60 * time.Millisecond
+	minLimitedDelay = 60 * time.Millisecond
+	// maxEntryDelay bounds the random delay before an entry is called in place of a store that rate limited the call.
+	maxEntryDelay   = 30 * time.Millisecond
+	maxLimitedDelay = 500 * time.Millisecond
+	// callTimeout bounds all attempts at one call: two slow answers of the store, after which the caller is told when to retry.
+	callTimeout = 1500 * time.Millisecond
+	// downDuration is how long calls are refused at once after no path to the store gave an answer; then a single call tries again.
+	downDuration = 400 * time.Millisecond
 )
 
-// Store reaches the store directly or through an entry.
+// Store calls the platform's store directly or through an entry.
 type Store struct {
-	direct   kv.Store
-	health   *kv.Health
-	pool     *Pool
-	patience *wait.Timeout
+	direct  kv.Store
+	health  *kv.Health
+	pool    *Pool
+	timeout *wait.Timeout
 
 	mu sync.Mutex
-	// asked is when the store itself was last asked.
-	asked time.Time
-	// away is until when the store is taken to answer nobody, as the lead and this process found at a time; serving is ended by
-	// end when that begins.
-	away    time.Time
-	found   time.Time
-	serving context.Context
-	end     context.CancelFunc
-	// down is when no way to the store gave an answer last, zero once one did; trying says that a call finds out.
-	down   time.Time
-	trying bool
+	// sentAt is when the store was last called directly.
+	sentAt time.Time
+	// unavailableUntil is until when the store is assumed to answer no process, as the leader and this process determined at
+	// unavailableSince; cancelCalls then ends callContext.
+	unavailableUntil time.Time
+	unavailableSince time.Time
+	callContext      context.Context
+	cancelCalls      context.CancelFunc
+	// downSince is when no path to the store last gave an answer, zero after one did; probing is set while one call tries again.
+	downSince time.Time
+	probing   bool
 }
 
-// New returns a store over the direct one, of which health is known, and the entries of a pool.
+// New returns a store that calls the direct one, whose health is given, or the entries of a pool.
 func New(direct kv.Store, health *kv.Health, pool *Pool) *Store {
-	s := &Store{direct: direct, health: health, pool: pool, patience: wait.NewTimeout(directLeast, directMost)}
-	s.serving, s.end = context.WithCancel(context.Background())
+	s := &Store{direct: direct, health: health, pool: pool, timeout: wait.NewTimeout(minDirectTimeout, maxDirectTimeout)}
+	s.callContext, s.cancelCalls = context.WithCancel(context.Background())
 	return s
 }
 
-// attempt is one way to the store.
+// attempt is a call by one path to the store.
 type attempt func(ctx context.Context) error
 
-// Get returns the item of a key as of now.
+// Get returns the current item of a key.
 func (s *Store) Get(ctx context.Context, key string) (kv.Item, error) {
 	var item kv.Item
 	direct := func(ctx context.Context) (err error) {
@@ -87,7 +87,7 @@
 	return item, err
 }
 
-// Commit makes a change that is safe to repeat: each of its keys stands under a condition.
+// Commit commits a transaction that is safe to repeat, since it sets a condition on each of its keys.
 func (s *Store) Commit(ctx context.Context, change kv.Txn) error {
 	request := link.Commit{Conditions: map[string]uint64{}, Puts: map[string][]byte{}}
 	for _, c := range change.Conditions {
@@ -109,135 +109,135 @@
 	return s.try(ctx, direct, peer)
 }
 
-// try goes through the ways to the store until one gives an answer or ctx ends.
+// try calls the store by each path in turn until one gives an answer or ctx ends.
 //
-// The error is of kind OutcomeUnknown if any attempt may have been done.
+// The error is of kind OutcomeUnknown if any attempt may have taken effect.
 func (s *Store) try(ctx context.Context, direct attempt, peer func(*rpc.Peer) attempt) error {
-	if !s.enter() {
-		return fault.New(fault.Unavailable, "the store did not answer a moment ago, nothing was sent to it")
+	if !s.admit() {
+		return fault.New(fault.Unavailable, "the store did not answer recent calls, nothing was sent to it")
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	defer s.onAway(cancel)()
-	var doubt error
-	slower := wait.NewBackoff(limitedFirst, limitedLast, rand.Float64)
+	defer s.onUnavailable(cancel)()
+	var unknown error
+	backoff := wait.NewBackoff(minLimitedDelay, maxLimitedDelay, rand.Float64)
 	for {
-		err := s.round(ctx, direct, peer, &doubt)
+		err := s.round(ctx, direct, peer, &unknown)
 		limited := s.limited(err)
-		s.leave(settled(err) || limited)
-		if settled(err) {
+		s.recordOutcome(isFinal(err) || limited)
+		if isFinal(err) {
 			return err
 		}
-		wait.For(ctx, pause)
+		wait.For(ctx, roundDelay)
 		if limited {
-			wait.For(ctx, slower.Next())
+			wait.For(ctx, backoff.Next())
 		}
 		if ctx.Err() == nil {
 			continue
 		}
 		switch {
-		case doubt != nil:
-			return doubt
+		case unknown != nil:
+			return unknown
 		case fault.Is(err, fault.Overloaded):
-			return fault.Wrap(err, fault.Overloaded, "the store takes no more calls at the moment")
+			return fault.Wrap(err, fault.Overloaded, "the store is rate limiting calls")
 		}
 		return fault.Wrap(err, fault.Unavailable, "the store cannot be reached")
 	}
 }
 
-// limited reports whether the store refused a call for the rate of all processes, so that it is not away.
+// limited reports whether the store rejected a call because of the rate of all processes, which does not make it unavailable.
 func (s *Store) limited(err error) bool { return fault.Is(err, fault.Overloaded) && s.health.Limited() }
 
-// round tries each way once, and notes in doubt whether any of them may have done the call.
-func (s *Store) round(ctx context.Context, direct attempt, peer func(*rpc.Peer) attempt, doubt *error) error {
-	last := error(fault.New(fault.Unavailable, "no entry can be reached"))
-	note := func(err error) bool {
+// round tries each path once, and sets unknown if any attempt may have taken effect.
+func (s *Store) round(ctx context.Context, direct attempt, peer func(*rpc.Peer) attempt, unknown *error) error {
+	lastErr := error(fault.New(fault.Unavailable, "no entry can be reached"))
+	record := func(err error) bool {
 		if unanswered(err) {
-			*doubt = fault.Wrap(err, fault.OutcomeUnknown, "the store's answer was lost")
+			*unknown = fault.Wrap(err, fault.OutcomeUnknown, "the store's answer was lost")
 		}
-		last = err
-		return settled(err)
+		lastErr = err
+		return isFinal(err)
 	}
-	avoided := s.avoided()
-	if !avoided && note(s.straight(ctx, direct)) {
-		return last
+	avoidDirect := s.avoidDirect()
+	if !avoidDirect && record(s.callDirect(ctx, direct)) {
+		return lastErr
 	}
-	most, limited := mostPeers, s.limited(last)
+	maxEntries, limited := maxPeers, s.limited(lastErr)
 	if limited {
-		// The store may turn only this process away. If it refuses all for their rate, each further entry would add to that.
-		most = 1
-		wait.For(ctx, time.Duration(rand.Float64()*float64(limitedPause)))
+		// The store may be rejecting only this process. If it rate limits all of them, each further entry would add to the load.
+		maxEntries = 1
+		wait.For(ctx, time.Duration(rand.Float64()*float64(maxEntryDelay)))
 	}
 	if ctx.Err() != nil {
-		return last
+		return lastErr
 	}
-	for _, p := range s.pool.Peers(ctx, most) {
-		bounded, cancel := context.WithTimeout(ctx, peerPatience)
+	for _, p := range s.pool.Peers(ctx, maxEntries) {
+		bounded, cancel := context.WithTimeout(ctx, peerTimeout)
 		err := peer(p)(bounded)
 		cancel()
 		if unanswered(err) {
-			// The connection may have gone silent; the next call makes a new one.
+			// The connection may be unresponsive; the next call opens a new one.
 			p.Close()
 		}
-		if note(err) {
+		if record(err) {
 			if limited {
 				s.health.MarkRejected()
 			}
-			return last
+			return lastErr
 		}
 		if ctx.Err() != nil {
-			return last
+			return lastErr
 		}
 	}
-	if avoided {
-		note(s.straight(ctx, direct))
+	if avoidDirect {
+		record(s.callDirect(ctx, direct))
 	}
-	return last
+	return lastErr
 }
 
-// straight asks the store itself; without an answer once more, by a new connection and with more patience.
-func (s *Store) straight(ctx context.Context, direct attempt) error {
-	patience := s.patience.First()
-	err := s.once(ctx, direct, patience)
+// callDirect calls the store itself, and once more on a new connection with a longer timeout if there is no answer.
+func (s *Store) callDirect(ctx context.Context, direct attempt) error {
+	timeout := s.timeout.First()
+	err := s.callOnce(ctx, direct, timeout)
 	if !unanswered(err) {
 		return err
 	}
-	again := s.once(ctx, direct, max(s.patience.Extend(patience), secondLeast))
-	if settled(again) || unanswered(again) {
-		return again
+	secondErr := s.callOnce(ctx, direct, max(s.timeout.Extend(timeout), minSecondTimeout))
+	if isFinal(secondErr) || unanswered(secondErr) {
+		return secondErr
 	}
 	return err
 }
 
-// avoided reports whether the store is to be asked last: it did not answer this process, which asked it a moment ago.
-func (s *Store) avoided() bool {
+// avoidDirect reports whether the store itself is tried last, since it did not answer this process a moment ago.
+func (s *Store) avoidDirect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health.Down() && time.Since(s.asked) < avoidFor
+	return s.health.Down() && time.Since(s.sentAt) < avoidDuration
 }
 
-// once makes one attempt with a patience.
-func (s *Store) once(ctx context.Context, direct attempt, patience time.Duration) error {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+// callOnce makes one direct attempt with a timeout.
+func (s *Store) callOnce(ctx context.Context, direct attempt, timeout time.Duration) error {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	s.mu.Lock()
-	s.asked = asked
+	s.sentAt = sentAt
 	s.mu.Unlock()
 	err := direct(bounded)
-	if settled(err) {
-		s.patience.Observe(time.Since(asked))
+	if isFinal(err) {
+		s.timeout.Observe(time.Since(sentAt))
 	}
 	return err
 }
 
-// unanswered reports whether a call got no answer, so that it may have been done.
+// unanswered reports whether a call got no answer, so that it may have taken effect.
 func unanswered(err error) bool {
 	return fault.Is(err, fault.OutcomeUnknown) || fault.Is(err, fault.DeadlineExceeded)
 }
 
-// settled reports whether an answer came that no other way would change.
-func settled(err error) bool {
+// isFinal reports whether the result is an answer that other paths would not change.
+func isFinal(err error) bool {
 	kinds := []fault.Kind{fault.Conflict, fault.NotFound, fault.BadInput, fault.TooLarge}
 	return err == nil || slices.Contains(kinds, fault.KindOf(err))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -48,7 +48,7 @@
 	return NewPool("self", secret, rpc.NewMux(timeline.NewClock(time.Now)), addresses)
 }
 
-func once() kv.Txn {
+func conditionalPut() kv.Txn {
 	const key = "key"
 	return kv.Txn{Conditions: []kv.Condition{{Key: key}}, Puts: []kv.Put{{Key: key, Value: []byte("v")}}}
 }
@@ -61,20 +61,20 @@
 	refusing, serving := kvtest.New(), kvtest.New()
 	refusing.SetFailure(always(kvtest.Refused))
 	s := New(refusing, &kv.Health{}, pool(entry(t, serving)))
-	assert.NilError(t, s.Commit(context.Background(), once()))
+	assert.NilError(t, s.Commit(context.Background(), conditionalPut()))
 	assert.DeepEqual(t, serving.Keys(""), []string{"key"})
 }
 
-func TestRefusedEverywhereIsSurelyNotDone(t *testing.T) {
+func TestCallRefusedByAllPathsIsUnavailable(t *testing.T) {
 	store := kvtest.New()
 	store.SetFailure(always(kvtest.Refused))
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	err := New(store, &kv.Health{}, pool(entry(t, store))).Commit(ctx, once())
+	err := New(store, &kv.Health{}, pool(entry(t, store))).Commit(ctx, conditionalPut())
 	assert.Assert(t, fault.Is(err, fault.Unavailable), "%v", err)
 }
 
-func TestLostAnswerIsNeverToldAsNotDone(t *testing.T) {
+func TestLostAnswerMakesTheOutcomeUnknown(t *testing.T) {
 	store := kvtest.New()
 	lost := true
 	store.SetFailure(func() kvtest.Failure {
@@ -86,11 +86,11 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	err := New(store, &kv.Health{}, pool()).Commit(ctx, once())
+	err := New(store, &kv.Health{}, pool()).Commit(ctx, conditionalPut())
 	assert.Assert(t, fault.Is(err, fault.OutcomeUnknown), "%v", err)
 }
 
-func TestLostAnswerIsFoundOutByTheSecondAttempt(t *testing.T) {
+func TestSecondAttemptResolvesALostAnswer(t *testing.T) {
 	store := kvtest.New()
 	lost := true
 	store.SetFailure(func() kvtest.Failure {
@@ -100,103 +100,103 @@
 		}
 		return kvtest.None
 	})
-	err := New(store, &kv.Health{}, pool()).Commit(context.Background(), once())
+	err := New(store, &kv.Health{}, pool()).Commit(context.Background(), conditionalPut())
 	assert.Assert(t, fault.Is(err, fault.Conflict), "%v", err)
 	assert.Equal(t, store.Commits(), 2)
 }
 
-func TestPoolLeavesItselfOutAndForgetsTheOldest(t *testing.T) {
+func TestPoolExcludesItselfAndRemovesTheOldest(t *testing.T) {
 	p := pool("a", "self", "a", "b")
 	assert.DeepEqual(t, p.addresses, []string{"a", "b"})
-	for i := range mostAddresses {
+	for i := range maxAddresses {
 		p.Add([]string{string(rune('A' + i))})
 	}
-	assert.Equal(t, len(p.addresses), mostAddresses)
+	assert.Equal(t, len(p.addresses), maxAddresses)
 }
 
-// TestKnownOutageIsRefusedAtOnce: while nothing answers, callers are told at once, truly, that nothing was sent.
-func TestKnownOutageIsRefusedAtOnce(t *testing.T) {
+// TestCallsFailFastDuringAKnownOutage checks that calls fail at once, as not sent, while nothing answers.
+func TestCallsFailFastDuringAKnownOutage(t *testing.T) {
 	store := kvtest.New()
 	store.SetFailure(always(kvtest.RequestLost))
 	s := New(store, &kv.Health{}, pool())
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	assert.Assert(t, fault.Is(s.Commit(ctx, once()), fault.OutcomeUnknown))
+	assert.Assert(t, fault.Is(s.Commit(ctx, conditionalPut()), fault.OutcomeUnknown))
 	sent := store.Commits()
-	began := time.Now()
-	err := s.Commit(context.Background(), once())
+	start := time.Now()
+	err := s.Commit(context.Background(), conditionalPut())
 	assert.Assert(t, fault.Is(err, fault.Unavailable), "%v", err)
-	assert.Assert(t, time.Since(began) < downFor/2)
+	assert.Assert(t, time.Since(start) < downDuration/2)
 	assert.Equal(t, store.Commits(), sent)
 
 	store.SetFailure(nil)
-	time.Sleep(downFor + 10*time.Millisecond)
-	assert.NilError(t, s.Commit(context.Background(), once()))
+	time.Sleep(downDuration + 10*time.Millisecond)
+	assert.NilError(t, s.Commit(context.Background(), conditionalPut()))
 }
 
-// TestStoreThatAnswersNobodyIsNotAsked failed while each entry learned of an outage by time-outs of its own.
-func TestStoreThatAnswersNobodyIsNotAsked(t *testing.T) {
+// TestUnavailableStoreIsNotCalled guards against each entry detecting an outage only by its own timeouts.
+func TestUnavailableStoreIsNotCalled(t *testing.T) {
 	store := kvtest.New()
 	health := &kv.Health{}
 	s := New(store, health, pool())
 	s.SetUnavailable(time.Minute)
-	assert.Assert(t, fault.Is(s.Commit(context.Background(), once()), fault.Unavailable))
+	assert.Assert(t, fault.Is(s.Commit(context.Background(), conditionalPut()), fault.Unavailable))
 	assert.Equal(t, store.Commits(), 0)
 	s.SetAvailable()
-	assert.NilError(t, s.Commit(context.Background(), once()))
+	assert.NilError(t, s.Commit(context.Background(), conditionalPut()))
 	s.SetUnavailable(time.Minute)
 	time.Sleep(time.Millisecond)
 	health.Record(time.Now(), nil)
-	err := s.Commit(context.Background(), once())
-	assert.Assert(t, fault.Is(err, fault.Conflict), "the store answers this process again: %v", err)
+	err := s.Commit(context.Background(), conditionalPut())
+	assert.Assert(t, fault.Is(err, fault.Conflict), "the store answers this process again, got %v", err)
 }
 
-// TestCallUnderWayIsGivenUpOnceTheStoreIsAway failed while such calls were held until their patience was over.
-func TestCallUnderWayIsGivenUpOnceTheStoreIsAway(t *testing.T) {
+// TestPendingCallIsCanceledOnceTheStoreIsUnavailable guards against pending calls waiting until their timeout.
+func TestPendingCallIsCanceledOnceTheStoreIsUnavailable(t *testing.T) {
 	store := kvtest.New()
 	store.SetFailure(always(kvtest.RequestLost))
 	s := New(store, &kv.Health{}, pool())
-	began := time.Now()
+	start := time.Now()
 	time.AfterFunc(50*time.Millisecond, func() { s.SetUnavailable(time.Minute) })
-	err := s.Commit(context.Background(), once())
-	assert.Assert(t, fault.Is(err, fault.OutcomeUnknown), "it may have been done: %v", err)
-	assert.Assert(t, time.Since(began) < patience/2)
+	err := s.Commit(context.Background(), conditionalPut())
+	assert.Assert(t, fault.Is(err, fault.OutcomeUnknown), "the call may have taken effect, got %v", err)
+	assert.Assert(t, time.Since(start) < callTimeout/2)
 }
 
-// TestEntryThatDoesNotAnswerHoldsNothingUpForLong failed for good, by seed 722 of the soak: while the store was taken to be away from
-// this process, an entry on a silent connection was asked first each time, until the time of the call was over.
-func TestEntryThatDoesNotAnswerHoldsNothingUpForLong(t *testing.T) {
+// TestUnresponsiveEntryDelaysCallsBriefly guards against calls that never succeed: while the store was avoided by this process, an entry
+// on a silent connection was tried first each time until the call timed out, as with seed 722 of the soak.
+func TestUnresponsiveEntryDelaysCallsBriefly(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
-	held := make(chan struct{})
+	release := make(chan struct{})
 	rpc.Handle(mux, link.MethodGet, func(context.Context, *rpc.Peer, link.Get) (link.Item, error) {
-		<-held
-		return link.Item{}, fault.New(fault.Unavailable, "the test is over")
+		<-release
+		return link.Item{}, fault.New(fault.Unavailable, "the test has ended")
 	})
 	server := rpc.Serve(listener, secret, mux, rpc.ProcessLimits())
 	defer server.Close()
-	defer close(held)
+	defer close(release)
 	health := &kv.Health{}
 	for range 2 {
 		health.Record(time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
 	}
 	s := New(kvtest.New(), health, pool(listener.Addr().String()))
-	const oneCall = 900 * time.Millisecond
+	const getTimeout = 900 * time.Millisecond
 	for attempt := 0; ; attempt++ {
-		ctx, cancel := context.WithTimeout(context.Background(), oneCall)
+		ctx, cancel := context.WithTimeout(context.Background(), getTimeout)
 		_, err = s.Get(ctx, "key")
 		cancel()
 		if err == nil {
 			break
 		}
 		assert.Assert(t, attempt < 2, "%v", err)
-		time.Sleep(avoidFor / 4)
+		time.Sleep(avoidDuration / 4)
 	}
 }
 
-// TestCallGoesToTheEntryThatAnsweredLast, and on to the next where that one is gone.
-func TestCallGoesToTheEntryThatAnsweredLast(t *testing.T) {
+// TestCallsPreferTheEntryThatAnsweredLast checks that Try stays with an entry that answers and moves on when it fails.
+func TestCallsPreferTheEntryThatAnsweredLast(t *testing.T) {
 	p := pool(entry(t, kvtest.New()), "127.0.0.1:1", entry(t, kvtest.New()))
 	var called []*rpc.Peer
 	call := func(peer *rpc.Peer) error {
@@ -204,38 +204,38 @@
 		return nil
 	}
 	for range 3 {
-		assert.NilError(t, p.Try(t.Context(), mostPeers, call))
+		assert.NilError(t, p.Try(t.Context(), maxPeers, call))
 	}
 	assert.Assert(t, called[0] == called[1] && called[1] == called[2])
-	refused := fault.New(fault.Unavailable, "it knows of no leader")
+	refused := fault.New(fault.Unavailable, "no leader is known")
 	err := p.Try(t.Context(), 1, func(*rpc.Peer) error { return refused })
 	assert.Assert(t, fault.Is(err, fault.Unavailable))
-	assert.NilError(t, p.Try(t.Context(), mostPeers, call))
-	assert.Assert(t, called[3] != called[0], "the turn has passed to the next")
-	assert.Assert(t, fault.Is(pool().Try(t.Context(), mostPeers, call), fault.Unavailable), "no entry is known")
+	assert.NilError(t, p.Try(t.Context(), maxPeers, call))
+	assert.Assert(t, called[3] != called[0], "the next entry is tried first")
+	assert.Assert(t, fault.Is(pool().Try(t.Context(), maxPeers, call), fault.Unavailable), "no entry is known")
 }
 
-// TestCallOfAnEntryThatIsTurnedAwayGoesThroughAnother at once, also where the refusal cannot be told from one for the rate of all.
-func TestCallOfAnEntryThatIsTurnedAwayGoesThroughAnother(t *testing.T) {
+// TestCallOfARejectedProcessGoesThroughAnEntry checks that this happens at once, although the error equals that of rate limiting.
+func TestCallOfARejectedProcessGoesThroughAnEntry(t *testing.T) {
 	health := &kv.Health{}
 	serving := kvtest.New()
-	s := New(turnedAway{Store: kvtest.New(), health: health}, health, pool(entry(t, serving)))
-	began := time.Now()
-	assert.NilError(t, s.Commit(t.Context(), once()))
+	s := New(rejectingStore{Store: kvtest.New(), health: health}, health, pool(entry(t, serving)))
+	start := time.Now()
+	assert.NilError(t, s.Commit(t.Context(), conditionalPut()))
 	assert.DeepEqual(t, serving.Keys(""), []string{"key"})
-	assert.Assert(t, health.Down(), "another one is served, so the refusal is not for the rate")
-	assert.Assert(t, time.Since(began) < directLeast, "%v", time.Since(began))
+	assert.Assert(t, health.Down(), "another process is served, so only this one is rejected")
+	assert.Assert(t, time.Since(start) < minDirectTimeout, "%v", time.Since(start))
 }
 
-// turnedAway is a store that refuses all calls of this process as over the rate.
-type turnedAway struct {
+// rejectingStore is a store that rejects all calls of this process as rate limited.
+type rejectingStore struct {
 	*kvtest.Store
 	health *kv.Health
 }
 
 // Commit implements kv.Store.
-func (s turnedAway) Commit(context.Context, kv.Txn) (kv.Revision, error) {
-	err := fault.New(fault.Overloaded, "refused for its rate")
+func (s rejectingStore) Commit(context.Context, kv.Txn) (kv.Revision, error) {
+	err := fault.New(fault.Overloaded, "rate limited")
 	s.health.Record(time.Now(), err)
 	return 0, err
 }
--- a/internal/wait/backoff.go
+++ b/internal/wait/backoff.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Backoff spreads what many processes repeat against something that they share: each pause is drawn between 0 and a bound that doubles.
+// Backoff spreads retries of many processes against a shared resource: each delay is random between 0 and a bound that doubles.
 //
-// It is used by one goroutine.
+// It must be used by a single goroutine.
 type Backoff struct {
-	first, last, bound time.Duration
-	draw               func() float64
+	minBound, maxBound, bound time.Duration
+	random                    func() float64
 }
 
-// NewBackoff returns a backoff whose bound grows from first to last; draw returns numbers from 0 up to 1.
-func NewBackoff(first, last time.Duration, draw func() float64) *Backoff {
-	return &Backoff{first: first, last: last, bound: first, draw: draw}
+// NewBackoff returns a backoff whose bound grows from minBound to maxBound; random returns numbers in [0, 1).
+func NewBackoff(minBound, maxBound time.Duration, random func() float64) *Backoff {
+	return &Backoff{minBound: minBound, maxBound: maxBound, bound: minBound, random: random}
 }
 
-// Next returns how long to wait before the next attempt.
+// Next returns the delay before the next attempt.
 func (b *Backoff) Next() time.Duration {
-	pause := time.Duration(b.draw() * float64(b.bound))
-	b.bound = min(2*b.bound, b.last)
-	return pause
+	delay := time.Duration(b.random() * float64(b.bound))
+	b.bound = min(2*b.bound, b.maxBound)
+	return delay
 }
 
-// Reset begins anew after an attempt that succeeded.
-func (b *Backoff) Reset() { b.bound = b.first }
+// Reset restores the initial bound after a successful attempt.
+func (b *Backoff) Reset() { b.bound = b.minBound }
--- a/internal/wait/backoff_test.go
+++ b/internal/wait/backoff_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackoffDoublesItsBoundUpToTheLast(t *testing.T) {
+func TestBackoffDoublesItsBoundUpToTheMaximum(t *testing.T) {
 	draw := 1.0
 	b := NewBackoff(100*time.Millisecond, 400*time.Millisecond, func() float64 { return draw })
 	for _, expected := range []time.Duration{100, 200, 400, 400} {
@@ -21,8 +21,8 @@
 	assert.Equal(t, b.Next(), 50*time.Millisecond)
 }
 
-// TestBackoffSpreadsAFleet: 800 processes that begin at one moment and fail all the time are not in step a second later.
-func TestBackoffSpreadsAFleet(t *testing.T) {
+// TestBackoffSpreadsProcesses checks that 800 processes that start together and always fail are no longer in step a second later.
+func TestBackoffSpreadsProcesses(t *testing.T) {
 	const processes, slots = 800, 40
 	const slot = 50 * time.Millisecond
 	draw := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // a fixed seed
@@ -33,8 +33,8 @@
 			attempts[at/slot]++
 		}
 	}
-	const settled = 20
-	for at, count := range attempts[settled:] {
-		assert.Assert(t, count < processes/5, "%d attempts within %v after %v", count, slot, (settled+time.Duration(at))*slot)
+	const warmUp = 20
+	for at, count := range attempts[warmUp:] {
+		assert.Assert(t, count < processes/5, "%d attempts within %v after %v", count, slot, (warmUp+time.Duration(at))*slot)
 	}
 }
--- a/internal/wait/doc.go
+++ b/internal/wait/doc.go
@@ -1,2 +1,2 @@
-// Package wait holds the waits that several processes share.
+// Package wait provides timeouts, delays and notifications.
 package wait
--- a/internal/wait/timeout.go
+++ b/internal/wait/timeout.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// patienceFactor times the usual time of an answer is how long the first attempt waits for one.
-	patienceFactor = 8
-	// usualShare is the divisor by which the newest time goes into the usual one.
-	usualShare = 8
+	// timeoutFactor times the mean response time is the timeout of a first attempt.
+	timeoutFactor = 8
+	// smoothing is the divisor of the moving average of response times.
+	smoothing = 8
 )
 
-// Timeout is how long an attempt that is safe to repeat waits for its answer, by how long answers usually take.
+// Timeout computes the timeout of attempts that are safe to repeat from the mean response time.
 type Timeout struct {
-	least, most time.Duration
+	floor, ceil time.Duration
 
-	mu    sync.Mutex
-	usual time.Duration
+	mu   sync.Mutex
+	mean time.Duration
 }
 
-// NewTimeout returns a patience between two bounds.
-func NewTimeout(least, most time.Duration) *Timeout { return &Timeout{least: least, most: most} }
+// NewTimeout returns a timeout between two bounds.
+func NewTimeout(floor, ceil time.Duration) *Timeout { return &Timeout{floor: floor, ceil: ceil} }
 
-// First returns how long a first attempt waits.
-func (p *Timeout) First() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return min(max(patienceFactor*p.usual, p.least), p.most)
+// First returns the timeout of a first attempt.
+func (t *Timeout) First() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return min(max(timeoutFactor*t.mean, t.floor), t.ceil)
 }
 
-// Extend returns how long the attempt after one of some patience waits, for what has become slow.
-func (p *Timeout) Extend(patience time.Duration) time.Duration { return min(2*patience, p.most) }
+// Extend returns the timeout of the attempt that follows one with the given timeout, in case the peer has become slow.
+func (t *Timeout) Extend(timeout time.Duration) time.Duration { return min(2*timeout, t.ceil) }
 
-// Observe takes note of how long an answer took.
-func (p *Timeout) Observe(took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.usual += (took - p.usual) / usualShare
+// Observe records the response time of an answer.
+func (t *Timeout) Observe(took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.mean += (took - t.mean) / smoothing
 }
--- a/internal/wait/timeout_test.go
+++ b/internal/wait/timeout_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPatienceGoesByTheUsualAnswer(t *testing.T) {
+func TestTimeoutFollowsTheMeanResponseTime(t *testing.T) {
 	p := NewTimeout(100*time.Millisecond, 900*time.Millisecond)
 	assert.Equal(t, p.First(), 100*time.Millisecond)
 	assert.Equal(t, p.Extend(p.First()), 200*time.Millisecond)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// For waits for a time or until ctx ends.
+// For waits for a duration or until ctx ends.
 func For(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -13,7 +13,7 @@
 	}
 }
 
-// Notify sends a signal on a channel with room for one, unless a signal is already there.
+// Notify sends a signal on a channel of capacity one, unless a signal is already pending.
 func Notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
