--- a/internal/kv/doc.go
+++ b/internal/kv/doc.go
@@ -1,3 +1,2 @@
-// Package kv is the port to the platform's key-value store: keys with revisions, transactions under
-// conditions, leases and watches.
+// Package kv is the port to the platform's key-value store: keys with revisions, conditional transactions, leases and watches.
 package kv
--- a/internal/kv/health.go
+++ b/internal/kv/health.go
@@ -7,55 +7,55 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// downAfter is how many calls in a row without an answer make the store count as away: one may have gone by a connection that
-// was silent, the next goes by a new one.
+// downAfter is how many consecutive calls without an answer make the store count as down: the first may have used an unresponsive
+// connection, the next uses a new one.
 const downAfter = 2
 
-// rateWindow is the time over which the store counts calls: a refusal that lasts longer is not for the rate of all processes, but turns this one
-// away.
+// rateWindow is the window over which the store counts calls. Rejections for longer than this are not due to the rate of all processes:
+// the store rejects only this one.
 const rateWindow = time.Second
 
-// Health is what a process knows of its own way to the store, by all its calls.
+// Health tracks whether the store answers this process, by the results of all its calls.
 type Health struct {
 	mu sync.Mutex
-	// failures counts the calls since the last that was answered, answered is when that answer came, failing when the first
-	// of the failures was noticed.
-	failures int
-	answered time.Time
-	failing  time.Time
-	// limited is when the first of the failures was noticed where all of them are refusals for the rate, else zero.
+	// failures counts the calls since the last answer, lastAnswer is when that answer arrived, failingSince when the first of the
+	// failures was recorded.
+	failures     int
+	lastAnswer   time.Time
+	failingSince time.Time
+	// limited is when the first of the failures was recorded if all of them were rejections by the rate limit, else zero.
 	limited time.Time
 }
 
-// Record takes note of how a call ended that was made at a time.
-func (h *Health) Record(asked time.Time, err error) {
+// Record records the result of a call sent at a given time.
+func (h *Health) Record(sentAt time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case serves(err):
-		h.answered, h.failures, h.failing, h.limited = time.Now(), 0, time.Time{}, time.Time{}
-	case asked.Before(h.answered):
-		// What hung on an older connection says nothing about the store of now.
+	case isAnswer(err):
+		h.lastAnswer, h.failures, h.failingSince, h.limited = time.Now(), 0, time.Time{}, time.Time{}
+	case sentAt.Before(h.lastAnswer):
+		// A call that hung on an older connection says nothing about the current state of the store.
 	default:
 		if h.failures == 0 {
-			h.failing = time.Now()
+			h.failingSince = time.Now()
 		}
 		h.failures++
-		h.noteLimit(err)
+		h.recordLimit(err)
 	}
 }
 
-// noteLimit records whether all failures so far were refusals for the rate; h is locked.
-func (h *Health) noteLimit(err error) {
+// recordLimit records whether all failures so far were rejections by the rate limit; h.mu is held.
+func (h *Health) recordLimit(err error) {
 	switch {
 	case !fault.Is(err, fault.Overloaded):
 		h.limited = time.Time{}
 	case h.failures == 1:
-		h.limited = h.failing
+		h.limited = h.failingSince
 	}
 }
 
-// Limited reports whether the store answers that too many calls are made: callers slow down, and none is refused for it.
+// Limited reports whether the store is rate limiting calls; callers slow down then but do not treat the store as down.
 func (h *Health) Limited() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,8 +64,8 @@
 
 func (h *Health) isLimited() bool { return !h.limited.IsZero() && time.Since(h.limited) < rateWindow }
 
-// MarkRejected records that the store answered another process right after it had refused this one for the rate: it counts as away until it
-// answers this one again.
+// MarkRejected records that the store answered another process right after it had rate limited this one: the store counts as down until
+// it answers this process again.
 func (h *Health) MarkRejected() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,36 +74,36 @@
 	}
 }
 
-// Down reports whether the store does not answer, or turns this process away.
+// Down reports whether the store does not answer, or rejects this process.
 func (h *Health) Down() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.failures >= downAfter && !h.isLimited()
 }
 
-// Failures returns how many calls in a row were refused or went without an answer.
+// Failures returns the number of consecutive calls that were rejected or got no answer.
 func (h *Health) Failures() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.failures
 }
 
-// LastAnswer returns when the latest answer came, zero before the first.
+// LastAnswer returns when the latest answer arrived, zero before the first.
 func (h *Health) LastAnswer() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.answered
+	return h.lastAnswer
 }
 
-// FailingSince returns since when no call was answered, zero while they are.
+// FailingSince returns since when no call was answered, zero while calls are.
 func (h *Health) FailingSince() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.failing
+	return h.failingSince
 }
 
-// serves reports whether a call's end shows a store that works for this process.
-func serves(err error) bool {
+// isAnswer reports whether the result of a call shows that the store works for this process.
+func isAnswer(err error) bool {
 	switch fault.KindOf(err) {
 	case fault.Unavailable, fault.Overloaded, fault.OutcomeUnknown, fault.DeadlineExceeded:
 		return false
--- a/internal/kv/health_test.go
+++ b/internal/kv/health_test.go
@@ -13,12 +13,12 @@
 func TestStoreIsDownAfterTwoCallsWithoutAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
-		lost := fault.New(fault.OutcomeUnknown, "no answer")
-		h.Record(time.Now(), lost)
-		assert.Assert(t, !h.Down(), "one may have gone by a silent connection")
+		noAnswer := fault.New(fault.OutcomeUnknown, "no answer")
+		h.Record(time.Now(), noAnswer)
+		assert.Assert(t, !h.Down(), "the call may have used an unresponsive connection")
 		first := h.FailingSince()
 		time.Sleep(time.Second)
-		h.Record(time.Now(), lost)
+		h.Record(time.Now(), noAnswer)
 		assert.Assert(t, h.Down())
 		assert.Equal(t, h.FailingSince(), first)
 		h.Record(time.Now(), fault.New(fault.Conflict, "a condition failed"))
@@ -28,26 +28,26 @@
 	})
 }
 
-func TestWhatHungOnAnOlderConnectionSaysNothingOfNow(t *testing.T) {
+func TestFailureOfACallOlderThanTheLastAnswerIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
-		asked := time.Now()
+		sentAt := time.Now()
 		time.Sleep(time.Second)
 		h.Record(time.Now(), nil)
-		h.Record(asked, fault.New(fault.OutcomeUnknown, "no answer"))
-		h.Record(asked, fault.New(fault.OutcomeUnknown, "no answer"))
+		h.Record(sentAt, fault.New(fault.OutcomeUnknown, "no answer"))
+		h.Record(sentAt, fault.New(fault.OutcomeUnknown, "no answer"))
 		assert.Assert(t, !h.Down())
 	})
 }
 
-// TestRefusalForTheRateIsAnAnswer plays a store that answers 429: entries took it for an outage and refused callers for three seconds, while other
-// calls got through. A refusal that lasts longer than the second over which calls are counted turns this process away.
-func TestRefusalForTheRateIsAnAnswer(t *testing.T) {
+// TestRateLimitedStoreIsNotDown guards against entries that took status 429 for an outage and refused callers for three seconds while other
+// calls succeeded. Rejections for longer than the rate window are directed at this process.
+func TestRateLimitedStoreIsNotDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
-		refused := fault.New(fault.Overloaded, "rate limited")
+		rateLimited := fault.New(fault.Overloaded, "rate limited")
 		for range 10 {
-			h.Record(time.Now(), refused)
+			h.Record(time.Now(), rateLimited)
 			time.Sleep(90 * time.Millisecond)
 		}
 		assert.Assert(t, !h.Down())
@@ -55,7 +55,7 @@
 		h.Record(time.Now(), nil)
 		assert.Assert(t, !h.Limited())
 
-		for h.Record(time.Now(), refused); !h.Down(); h.Record(time.Now(), refused) {
+		for h.Record(time.Now(), rateLimited); !h.Down(); h.Record(time.Now(), rateLimited) {
 			time.Sleep(100 * time.Millisecond)
 			assert.Assert(t, time.Since(h.LastAnswer()) < 2*rateWindow)
 		}
@@ -64,12 +64,12 @@
 	})
 }
 
-// TestRefusalIsNotForTheRateWhereAnotherIsServed: calls of a process that is turned away need not try the store first for a second.
-func TestRefusalIsNotForTheRateWhereAnotherIsServed(t *testing.T) {
+// TestRejectedProcessIsDownAtOnce checks that a rejected process does not keep trying the store first for the whole rate window.
+func TestRejectedProcessIsDownAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var h Health
 		h.MarkRejected()
-		assert.Assert(t, !h.Down(), "nothing was refused")
+		assert.Assert(t, !h.Down(), "no call was rejected")
 		h.Record(time.Now(), fault.New(fault.Overloaded, "rate limited"))
 		first := h.limited
 		h.MarkRejected()
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Revision numbers the changes of the whole store; 0 stands for an absent key.
+// Revision numbers the changes of the whole store; 0 means an absent key.
 type Revision uint64
 
-// LeaseID names a lease of the store; 0 stands for none.
+// LeaseID identifies a lease of the store; 0 means none.
 type LeaseID uint64
 
 // Item is a key with its value.
@@ -26,44 +26,44 @@
 // Key returns the key of the item.
 func (i Item) Key() string { return i.key }
 
-// Value returns the bytes of the item, which are not to be changed.
+// Value returns the bytes of the item; they must not be modified.
 func (i Item) Value() []byte { return i.value }
 
 // Revision returns the revision of the last change, 0 for an absent key.
 func (i Item) Revision() Revision { return i.revision }
 
-// Event is a change that a watch saw.
+// Event is a change reported by a watch.
 type Event struct {
-	item Item
-	gone bool
+	item    Item
+	removed bool
 }
 
-// NewEvent returns a change; gone says that the key was removed.
-func NewEvent(item Item, gone bool) Event { return Event{item: item, gone: gone} }
+// NewEvent returns a change; removed means that the key was removed.
+func NewEvent(item Item, removed bool) Event { return Event{item: item, removed: removed} }
 
-// Item returns the item as written, without a value where it is gone.
+// Item returns the item as written, without a value if it was removed.
 func (e Event) Item() Item { return e.item }
 
 // Removed reports whether the key was removed.
-func (e Event) Removed() bool { return e.gone }
+func (e Event) Removed() bool { return e.removed }
 
-// Condition holds while a key is at a revision; revision 0 asks for its absence.
+// Condition requires a key to be at a revision; revision 0 requires its absence.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Put is a key to be written, which goes with its lease where one is named.
+// Put writes a key; if a lease is given, the key is removed when the lease ends.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// MaxEntries is how many conditions, puts and removals one transaction holds, by the platform's page.
+// MaxEntries is the platform's documented limit of the conditions, puts and removals of one transaction.
 const MaxEntries = 32
 
-// Txn is a change of several keys that is made whole or not at all.
+// Txn is an atomic change of several keys.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
@@ -72,22 +72,22 @@
 
 // Store is the platform's key-value store.
 //
-// Errors are of kind Unavailable or Overloaded when the call surely had no effect, OutcomeUnknown when
-// its answer was lost and it may still be done, Conflict when a condition failed, and NotFound when a lease is over.
+// Errors are of kind Unavailable or Overloaded if the call had no effect, OutcomeUnknown if its answer was lost and it may still take
+// effect, Conflict if a condition failed, and NotFound if a lease has ended.
 type Store interface {
-	// Get returns the item of a key as of now; an absent key has revision 0.
+	// Get returns the current item of a key; an absent key has revision 0.
 	Get(ctx context.Context, key string) (Item, error)
-	// Range returns all items under a prefix and the revision from which a watch misses nothing.
+	// Range returns all items under a prefix and the revision from which a watch misses no change.
 	Range(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Watch returns the changes under a prefix after a revision and where to go on, without changes when wait is over;
-	// a history that is gone is of kind Stale.
+	// Watch returns the changes under a prefix after a revision and the revision to continue from, without changes if none occur
+	// within wait; the error is of kind Stale if the history since the revision has been dropped.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
-	// Commit makes the change and returns its revision.
+	// Commit commits the transaction and returns its revision.
 	Commit(ctx context.Context, change Txn) (Revision, error)
-	// Grant opens a lease that lasts ttl unless it is renewed.
+	// Grant creates a lease that expires after ttl unless it is renewed.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew lets the lease last its whole time from now on.
+	// Renew extends the lease by its whole duration from now.
 	Renew(ctx context.Context, lease LeaseID) error
-	// End gives the lease up; its keys go.
+	// End ends the lease and removes its keys.
 	End(ctx context.Context, lease LeaseID) error
 }
--- a/internal/kvtest/doc.go
+++ b/internal/kvtest/doc.go
@@ -1,2 +1,2 @@
-// Package kvtest is a store in memory for tests, which loses answers, does writes late, and refuses, on request.
+// Package kvtest is an in-memory store for tests, which on request loses answers, delays writes, or refuses calls.
 package kvtest
--- a/internal/kvtest/kvtest.go
+++ b/internal/kvtest/kvtest.go
@@ -12,38 +12,38 @@
 	"github.com/saffronpulley/saffronpulley/internal/kv"
 )
 
-// Failure is what happens to a call.
+// Failure is a failure injected into a call.
 type Failure int
 
-// The kinds of trouble.
+// The kinds of failure.
 const (
 	None Failure = iota
-	// Refused calls are not done, and it is said so.
+	// Refused calls take no effect and return an error that says so.
 	Refused
-	// AnswerLost calls are done, and their answer is lost.
+	// AnswerLost calls take effect, but their answer is lost.
 	AnswerLost
-	// Late calls are done when Catch is called, if their conditions still hold then, and their answer is lost.
+	// Late calls take effect in ApplyLate, if their conditions still hold then; their answer is lost.
 	Late
-	// RequestLost calls are not done, and their answer is lost.
+	// RequestLost calls take no effect, and their answer is lost.
 	RequestLost
 )
 
-// Store is a store in memory.
+// Store is an in-memory store.
 type Store struct {
-	mu       sync.Mutex
-	revision kv.Revision
-	items    map[string]kv.Item
-	history  []kv.Event
-	forgot   kv.Revision
-	// leases are those that stand, owners the lease of each key that is under one.
+	mu          sync.Mutex
+	revision    kv.Revision
+	items       map[string]kv.Item
+	history     []kv.Event
+	droppedUpTo kv.Revision
+	// leases are the current leases, owners the lease of each key that has one.
 	leases  map[kv.LeaseID]struct{}
 	owners  map[string]kv.LeaseID
 	nextID  kv.LeaseID
 	late    []kv.Txn
 	commits int
 	changed chan struct{}
-	// trouble is asked before each commit.
-	trouble func() Failure
+	// failure returns the failure of the next commit.
+	failure func() Failure
 }
 
 var _ kv.Store = (*Store)(nil)
@@ -53,14 +53,14 @@
 	return &Store{items: make(map[string]kv.Item), leases: make(map[kv.LeaseID]struct{}), owners: make(map[string]kv.LeaseID), changed: make(chan struct{})}
 }
 
-// SetFailure makes the store ask what happens to each commit from now on.
-func (s *Store) SetFailure(trouble func() Failure) {
+// SetFailure sets the function that returns the failure of each following commit.
+func (s *Store) SetFailure(failure func() Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = trouble
+	s.failure = failure
 }
 
-// ApplyLate does the late commits, in their order.
+// ApplyLate applies the late commits in order.
 func (s *Store) ApplyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,22 +70,22 @@
 	s.late = nil
 }
 
-// DropHistory drops the history.
+// DropHistory drops the history of changes.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.forgot = nil, s.revision
-	s.wake()
+	s.history, s.droppedUpTo = nil, s.revision
+	s.notify()
 }
 
-// Commits returns how many commits were asked for.
+// Commits returns the number of calls to Commit.
 func (s *Store) Commits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits
 }
 
-// Keys returns all keys under a prefix in order.
+// Keys returns all keys under a prefix in sorted order.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +99,7 @@
 	return keys
 }
 
-func (s *Store) wake() {
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -132,7 +132,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		events, at, changed, err := s.since(prefix, after)
+		events, at, changed, err := s.eventsAfter(prefix, after)
 		if err != nil || len(events) > 0 {
 			return events, at, err
 		}
@@ -146,11 +146,11 @@
 	}
 }
 
-func (s *Store) since(prefix string, after kv.Revision) ([]kv.Event, kv.Revision, chan struct{}, error) {
+func (s *Store) eventsAfter(prefix string, after kv.Revision) ([]kv.Event, kv.Revision, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.forgot {
-		return nil, after, nil, fault.New(fault.Stale, "the history is gone")
+	if after < s.droppedUpTo {
+		return nil, after, nil, fault.New(fault.Stale, "the history was dropped")
 	}
 	var events []kv.Event
 	for _, e := range s.history {
@@ -170,11 +170,11 @@
 		max(len(change.Conditions), len(change.Puts), len(change.Removes)) > kv.MaxEntries {
 		return 0, fault.New(fault.BadInput, "more than %d entries", kv.MaxEntries)
 	}
-	trouble := None
-	if s.trouble != nil {
-		trouble = s.trouble()
+	failure := None
+	if s.failure != nil {
+		failure = s.failure()
 	}
-	switch trouble {
+	switch failure {
 	case Refused:
 		return 0, fault.New(fault.Unavailable, "refused")
 	case RequestLost:
@@ -190,7 +190,7 @@
 	return s.apply(change)
 }
 
-// CommitAsOperator makes a change as the operators do, whose calls no trouble befalls.
+// CommitAsOperator commits a change on behalf of the operators, without injected failures.
 func (s *Store) CommitAsOperator(change kv.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +222,7 @@
 	for _, key := range change.Removes {
 		s.remove(key)
 	}
-	s.wake()
+	s.notify()
 	return s.revision, nil
 }
 
@@ -260,30 +260,30 @@
 	return nil
 }
 
-// Expire lets a lease run out.
+// Expire ends a lease.
 func (s *Store) Expire(lease kv.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.removeOwned(func(owner kv.LeaseID) bool { return owner == lease })
 	delete(s.leases, lease)
-	s.wake()
+	s.notify()
 }
 
-// removeOwned removes the keys of some leases.
-func (s *Store) removeOwned(by func(kv.LeaseID) bool) {
+// removeOwned removes the keys whose lease is selected.
+func (s *Store) removeOwned(selected func(kv.LeaseID) bool) {
 	for _, key := range slices.Sorted(maps.Keys(s.owners)) {
-		if by(s.owners[key]) {
+		if selected(s.owners[key]) {
 			s.remove(key)
 		}
 	}
 }
 
-// RemoveLeasedKeys takes the keys of all leases away and leaves the leases, which no request shows.
+// RemoveLeasedKeys removes the keys of all leases but keeps the leases, which no request of a client can observe.
 func (s *Store) RemoveLeasedKeys() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.removeOwned(func(kv.LeaseID) bool { return true })
-	s.wake()
+	s.notify()
 }
--- a/internal/kvtest/kvtest_test.go
+++ b/internal/kvtest/kvtest_test.go
@@ -10,8 +10,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/kv"
 )
 
-// TestKeyGoesWithItsLatestLease: an earlier lease that ran out once took the key of the next lead away, over and over.
-func TestKeyGoesWithItsLatestLease(t *testing.T) {
+// TestKeyIsRemovedWithItsLatestLease guards against an expired earlier lease removing the key of the next leader repeatedly.
+func TestKeyIsRemovedWithItsLatestLease(t *testing.T) {
 	ctx := context.Background()
 	s := New()
 	first, err := s.Grant(ctx, time.Second)
--- a/internal/proptest/doc.go
+++ b/internal/proptest/doc.go
@@ -1,2 +1,2 @@
-// Package proptest gives the property tests the same verdict on every run.
+// Package proptest makes the results of property tests reproducible.
 package proptest
--- a/internal/scripttest/doc.go
+++ b/internal/scripttest/doc.go
@@ -1,2 +1,2 @@
-// Package scripttest plays tests that are written as data: each txtar archive in testdata is one of them.
+// Package scripttest runs tests that are written as data: each txtar archive in testdata is a test.
 package scripttest
--- a/internal/scripttest/scripttest.go
+++ b/internal/scripttest/scripttest.go
@@ -11,8 +11,8 @@
 
 const suffix = ".txtar"
 
-// Each plays every archive of the package's testdata, of which there must be one, as a test of its own.
-func Each(t *testing.T, play func(t *testing.T, archive *txtar.Archive)) {
+// Each runs each archive in the package's testdata, of which there must be at least one, as a subtest.
+func Each(t *testing.T, run func(t *testing.T, archive *txtar.Archive)) {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*" + suffix)
 	assert.NilError(t, err)
@@ -21,7 +21,7 @@
 		t.Run(strings.TrimSuffix(filepath.Base(file), suffix), func(t *testing.T) {
 			archive, err := txtar.ParseFile(file)
 			assert.NilError(t, err)
-			play(t, archive)
+			run(t, archive)
 		})
 	}
 }
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,3 +1,2 @@
-// Package store is the port to the platform's small key-value service, with
-// the adapter that speaks to it and the document that is swapped as a whole.
+// Package store is the port to the platform's small key-value service, with its HTTP adapter and a document that is replaced as a whole.
 package store
--- a/internal/store/document_test.go
+++ b/internal/store/document_test.go
@@ -11,34 +11,34 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// fake is a store of one key that fails as told.
-type fake struct {
-	record Record
-	old    *Record
-	fails  []fault.Kind
-	swaps  int
-	before func()
+// fakeStore is a store of one key that fails as configured.
+type fakeStore struct {
+	record     Record
+	stale      *Record
+	failures   []fault.Kind
+	swaps      int
+	beforeSwap func()
 }
 
-func (f *fake) Get(context.Context, string) (Record, error) {
-	if f.old != nil {
-		return *f.old, nil
+func (f *fakeStore) Get(context.Context, string) (Record, error) {
+	if f.stale != nil {
+		return *f.stale, nil
 	}
 	return f.record, nil
 }
 
-func (f *fake) Swap(_ context.Context, _ string, from Version, value []byte) (Version, error) {
+func (f *fakeStore) Swap(_ context.Context, _ string, from Version, value []byte) (Version, error) {
 	f.swaps++
 	kind := fault.Internal
-	if len(f.fails) > 0 {
-		kind, f.fails = f.fails[0], f.fails[1:]
+	if len(f.failures) > 0 {
+		kind, f.failures = f.failures[0], f.failures[1:]
 	}
 	if kind == fault.Unavailable {
 		return 0, fault.New(fault.Unavailable, "down")
 	}
-	if f.before != nil {
-		f.before()
-		f.before = nil
+	if f.beforeSwap != nil {
+		f.beforeSwap()
+		f.beforeSwap = nil
 	}
 	if f.record.Version() != from {
 		return 0, fault.New(fault.Conflict, "another version")
@@ -50,19 +50,19 @@
 	return from + 1, nil
 }
 
-func (f *fake) Watch(ctx context.Context, key string, _ Version) (Record, error) {
+func (f *fakeStore) Watch(ctx context.Context, key string, _ Version) (Record, error) {
 	return f.Get(ctx, key)
 }
 
-func (f *fake) Acquire(context.Context, string, string, time.Duration) (Lease, error) {
+func (f *fakeStore) Acquire(context.Context, string, string, time.Duration) (Lease, error) {
 	return Lease{}, nil
 }
 
-func (f *fake) Holder(context.Context, string) (Lease, error) { return Lease{}, nil }
+func (f *fakeStore) Holder(context.Context, string) (Lease, error) { return Lease{}, nil }
 
-func (f *fake) Release(context.Context, string, string) error { return nil }
+func (f *fakeStore) Release(context.Context, string, string) error { return nil }
 
-func numbers(f *fake) *Document[int] {
+func newNumberDocument(f *fakeStore) *Document[int] {
 	return NewDocument(f, "key", NewCodec(
 		func(n int) ([]byte, error) { return []byte(strconv.Itoa(n)), nil },
 		func(value []byte) (int, error) {
@@ -71,26 +71,26 @@
 		}))
 }
 
-// atLeast is a change that finds itself done.
-func atLeast(wanted int) func(int) (int, bool, error) {
+// raiseTo returns a change that reports false if it is already done.
+func raiseTo(wanted int) func(int) (int, bool, error) {
 	return func(n int) (int, bool, error) { return max(n, wanted), n < wanted, nil }
 }
 
 func TestUpdate(t *testing.T) {
 	cases := []struct {
-		name  string
-		fails []fault.Kind
-		swaps int
-		want  fault.Kind
+		name     string
+		failures []fault.Kind
+		swaps    int
+		want     fault.Kind
 	}{
-		{"goes well", nil, 1, -1},
+		{"succeeds", nil, 1, -1},
 		{"its answer is lost", []fault.Kind{fault.OutcomeUnknown}, 1, -1},
 		{"the store is down", []fault.Kind{fault.Unavailable}, 1, fault.Unavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := &fake{fails: c.fails}
-			got, err := numbers(f).Update(context.Background(), atLeast(5))
+			f := &fakeStore{failures: c.failures}
+			got, err := newNumberDocument(f).Update(context.Background(), raiseTo(5))
 			assert.Equal(t, f.swaps, c.swaps)
 			if c.want >= 0 {
 				assert.Equal(t, fault.KindOf(err), c.want)
@@ -102,28 +102,28 @@
 	}
 }
 
-func TestUpdateMergesWithAnother(t *testing.T) {
-	f := &fake{}
-	f.before = func() { f.record = NewRecord(1, []byte("100")) }
-	got, err := numbers(f).Update(context.Background(), func(n int) (int, bool, error) { return n + 1, true, nil })
+func TestUpdateAppliesTheChangeToAConcurrentWrite(t *testing.T) {
+	f := &fakeStore{}
+	f.beforeSwap = func() { f.record = NewRecord(1, []byte("100")) }
+	got, err := newNumberDocument(f).Update(context.Background(), func(n int) (int, bool, error) { return n + 1, true, nil })
 	assert.NilError(t, err)
 	assert.Equal(t, got, 101)
 }
 
 func TestUpdateReturnsTheErrorOfTheChange(t *testing.T) {
-	refused := fault.New(fault.Conflict, "the change itself refuses")
-	f := &fake{}
-	_, err := numbers(f).Update(context.Background(), func(n int) (int, bool, error) { return n, false, refused })
+	refused := fault.New(fault.Conflict, "rejected by the change")
+	f := &fakeStore{}
+	_, err := newNumberDocument(f).Update(context.Background(), func(n int) (int, bool, error) { return n, false, refused })
 	assert.Equal(t, err, error(refused))
 	assert.Equal(t, f.swaps, 0)
 }
 
-func TestDocumentNeverGoesBack(t *testing.T) {
-	f := &fake{record: NewRecord(3, []byte("3"))}
-	d := numbers(f)
+func TestDocumentNeverRevertsToAnOlderVersion(t *testing.T) {
+	f := &fakeStore{record: NewRecord(3, []byte("3"))}
+	d := newNumberDocument(f)
 	assert.NilError(t, d.Load(context.Background()))
 	older := NewRecord(2, []byte("2"))
-	f.old = &older
+	f.stale = &older
 	assert.Equal(t, fault.KindOf(d.Load(context.Background())), fault.Unavailable)
 	value, version, _ := d.Current()
 	assert.Equal(t, value, 3)
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	followFirst = 200 * time.Millisecond
-	followMost  = 5 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
-// Follow keeps a document up to date until ctx ends, and tells of each newer version and of each failed call.
-func Follow[T any](ctx context.Context, d *Document[T], changed func(T, Version), failed func(error)) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = followFirst, followMost
-	told := Version(0)
+// Follow keeps a document up to date until ctx ends; it reports each newer version to onChange and each failed call to onError.
+func Follow[T any](ctx context.Context, d *Document[T], onChange func(T, Version), onError func(error)) {
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = minRetryDelay, maxRetryDelay
+	reported := Version(0)
 	read := d.Load
 	for ctx.Err() == nil {
 		if err := read(ctx); err != nil {
-			failed(err)
-			Pause(ctx, wait.NextBackOff())
+			onError(err)
+			Pause(ctx, retryDelay.NextBackOff())
 			continue
 		}
-		wait.Reset()
+		retryDelay.Reset()
 		read = d.Watch
-		if value, version, loaded := d.Current(); loaded && version > told {
-			told = version
-			changed(value, version)
+		if value, version, loaded := d.Current(); loaded && version > reported {
+			reported = version
+			onChange(value, version)
 		}
 	}
 }
 
-// Pause waits for a time or until ctx ends.
+// Pause waits for a duration or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -13,7 +13,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/httpclient"
 )
 
-// HTTP protocol of the platform's service, as the adapter speaks it.
+// Names and limits of the platform's HTTP protocol.
 const (
 	HeaderVersion   = "X-Version"
 	HeaderHolder    = "X-Holder"
@@ -29,7 +29,7 @@
 	address string
 }
 
-// NewHTTP returns the adapter to the service at an address of the form host:port.
+// NewHTTP returns an adapter to the service at an address of the form host:port.
 func NewHTTP(address string) *HTTP {
 	return &HTTP{address: address, client: httpclient.New(address, watchTimeout+callTimeout)}
 }
@@ -39,7 +39,7 @@
 	return h.read(ctx, "/v1/keys/"+url.PathEscape(key), callTimeout)
 }
 
-// Watch implements Store; it waits 20 seconds at the most, and ends early with ctx.
+// Watch implements Store; it waits up to 20 seconds and ends early with ctx.
 func (h *HTTP) Watch(ctx context.Context, key string, after Version) (Record, error) {
 	type result struct {
 		record Record
@@ -54,7 +54,7 @@
 	case r := <-answered:
 		return r.record, r.err
 	case <-ctx.Done():
-		return Record{}, fault.Wrap(ctx.Err(), fault.Unavailable, "the watch was ended")
+		return Record{}, fault.Wrap(ctx.Err(), fault.Unavailable, "the watch was canceled")
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 func (h *HTTP) lease(ctx context.Context, method, name string, headers map[string]string) (Lease, error) {
-	asked := time.Now()
+	sentAt := time.Now()
 	var lease Lease
 	err := h.do(ctx, method, "/v1/leases/"+url.PathEscape(name), callTimeout, headers, nil,
 		func(response *fasthttp.Response) error {
@@ -121,7 +121,7 @@
 			if err != nil {
 				return fault.Wrap(err, fault.OutcomeUnknown, "the store's answer has no remaining time")
 			}
-			remaining := time.Duration(millis)*time.Millisecond - time.Since(asked)
+			remaining := time.Duration(millis)*time.Millisecond - time.Since(sentAt)
 			lease = NewLease(string(response.Header.Peek(HeaderHolder)), max(remaining, 0))
 			return nil
 		})
@@ -133,7 +133,7 @@
 }
 
 func (h *HTTP) do(ctx context.Context, method, path string, timeout time.Duration, headers map[string]string,
-	body []byte, take func(*fasthttp.Response) error,
+	body []byte, decode func(*fasthttp.Response) error,
 ) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -149,14 +149,14 @@
 	}
 	switch status := response.StatusCode(); status {
 	case fasthttp.StatusOK:
-		return take(response)
+		return decode(response)
 	case fasthttp.StatusConflict:
-		if err := take(response); err != nil {
+		if err := decode(response); err != nil {
 			return err
 		}
-		return fault.New(fault.Conflict, "the store holds another version or holder")
+		return fault.New(fault.Conflict, "the store has another version or holder")
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
-		return fault.New(fault.Unavailable, "the store refuses calls for now (status %d)", status)
+		return fault.New(fault.Unavailable, "the store is refusing calls (status %d)", status)
 	default:
 		var message errorBody
 		_ = json.Unmarshal(response.Body(), &message)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Version is the number of a value; it grows with each write and is 0 for a key that was never written.
+// Version is the number of a value; it increases with each write and is 0 for a key that was never written.
 type Version uint64
 
-// Record is a value together with its version.
+// Record is a value with its version.
 type Record struct {
 	version Version
 	value   []byte
@@ -22,41 +22,41 @@
 // Version returns the version of the value.
 func (r Record) Version() Version { return r.version }
 
-// Value returns the bytes, at most a megabyte; they are not to be changed.
+// Value returns the bytes, at most a megabyte; they must not be modified.
 func (r Record) Value() []byte { return r.value }
 
-// Lease is a name that one holder has for a limited time.
+// Lease is a name that one holder owns for a limited time.
 type Lease struct {
 	holder    string
 	remaining time.Duration
 }
 
-// NewLease returns a lease of a holder that ends after remaining.
+// NewLease returns a lease of a holder that expires after remaining.
 func NewLease(holder string, remaining time.Duration) Lease {
 	return Lease{holder: holder, remaining: remaining}
 }
 
-// Holder returns who has the lease, empty for nobody.
+// Holder returns the holder of the lease, empty if there is none.
 func (l Lease) Holder() string { return l.holder }
 
-// Remaining returns how long the lease lasts, counted from before it was asked for.
+// Remaining returns the remaining time of the lease, counted from before it was requested.
 func (l Lease) Remaining() time.Duration { return l.remaining }
 
-// Store is the platform's key-value service; each call and each waiting watch counts against its rate.
+// Store is the platform's key-value service; each call and each waiting watch counts against its rate limit.
 //
-// Errors are of kind Unavailable when the call surely had no effect, OutcomeUnknown
-// when its answer was lost, and Conflict when the version or the holder differs.
+// Errors are of kind Unavailable if the call had no effect, OutcomeUnknown if its answer was lost, and Conflict if the version or the
+// holder differs.
 type Store interface {
 	// Get returns the record of key; an absent key has version 0.
 	Get(ctx context.Context, key string) (Record, error)
 	// Swap writes value if the version is still from, and returns the new version.
 	Swap(ctx context.Context, key string, from Version, value []byte) (Version, error)
-	// Watch returns once the version of key is above after, or with the old record when the wait ends.
+	// Watch returns once the version of key is above after, or with the old record when the wait time ends.
 	Watch(ctx context.Context, key string, after Version) (Record, error)
-	// Acquire takes or prolongs the lease; held by another, the other's lease comes with a Conflict.
+	// Acquire acquires or extends the lease; if another holder has it, that lease is returned with a Conflict.
 	Acquire(ctx context.Context, name, holder string, ttl time.Duration) (Lease, error)
-	// Holder returns the lease as it is.
+	// Holder returns the current lease.
 	Holder(ctx context.Context, name string) (Lease, error)
-	// Release gives the lease up if the holder has it.
+	// Release releases the lease if the holder has it.
 	Release(ctx context.Context, name, holder string) error
 }
