--- a/internal/store/document_test.go
+++ b/internal/store/document_test.go
@@ -83,7 +83,7 @@
 		swaps    int
 		want     fault.Kind
 	}{
-		{"succeeds", nil, 1, -1},
+		{"swap succeeds", nil, 1, -1},
 		{"its answer is lost", []fault.Kind{fault.OutcomeUnknown}, 1, -1},
 		{"the store is down", []fault.Kind{fault.Unavailable}, 1, fault.Unavailable},
 	}
