--- a/internal/intake/doc.go
+++ b/internal/intake/doc.go
@@ -1,3 +1,2 @@
-// Package intake is the part of an entry that serves callers: it takes jobs and cancellations into the store and tells
-// how far jobs are.
+// Package intake is the part of an entry that serves callers: it stores submitted jobs and cancellations and returns the state of jobs.
 package intake
--- a/internal/intake/leader.go
+++ b/internal/intake/leader.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// leaderHold is how long the question who leads is held until there is a later leader than the asker knows.
-	leaderHold = 500 * time.Millisecond
-	// leaderRetry is when to ask again where nobody leads.
-	leaderRetry = 200 * time.Millisecond
+	// maxLeaderWait is how long a request for the leader waits for a leader of a later epoch than the requester knows.
+	maxLeaderWait = 500 * time.Millisecond
+	// leaderRetryAfter is the retry delay if there is no leader.
+	leaderRetryAfter = 200 * time.Millisecond
 )
 
-// leader answers an agent who leads, by what this entry follows anyway: the store is not asked by each agent of a fleet.
-func (p *Pinger) leader(_ context.Context, _ *rpc.Peer, q link.LeaderRequest) (link.LeaderAnswer, error) {
-	hold := leaderHold
-	if q.AtOnce {
-		hold = 0
+// handleLeader answers an agent with the leader that this entry follows, so that not every agent of a fleet reads the store.
+func (p *Pinger) handleLeader(_ context.Context, _ *rpc.Peer, request link.LeaderRequest) (link.LeaderAnswer, error) {
+	limit := maxLeaderWait
+	if request.AtOnce {
+		limit = 0
 	}
-	held := time.NewTimer(hold)
-	defer held.Stop()
-	lead := p.desk.config.Leader
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
+	leader := p.server.config.Leader
 	for {
-		changed := lead.Changed()
-		value, known := lead.Value()
-		leads := known && value.Revision != 0
-		if leads && value.Decoded.Epoch > q.After {
-			return p.leaderAnswer(value.Decoded), nil
+		changed := leader.Changed()
+		value, known := leader.Value()
+		hasLeader := known && value.Revision != 0
+		if hasLeader && value.Decoded.Epoch > request.After {
+			return p.newLeaderAnswer(value.Decoded), nil
 		}
 		select {
 		case <-changed:
-		case <-held.C:
-			if leads {
-				return p.leaderAnswer(value.Decoded), nil
+		case <-timer.C:
+			if hasLeader {
+				return p.newLeaderAnswer(value.Decoded), nil
 			}
-			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "this entry knows of no leader").WithRetryAfter(leaderRetry)
+			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "this entry knows no leader").WithRetryAfter(leaderRetryAfter)
 		}
 	}
 }
 
-func (p *Pinger) leaderAnswer(lead record.Leader) link.LeaderAnswer {
-	return link.LeaderAnswer{Process: lead.Process, Address: lead.Address, Epoch: lead.Epoch, Agents: int(p.agents.Load())}
+func (p *Pinger) newLeaderAnswer(leader record.Leader) link.LeaderAnswer {
+	return link.LeaderAnswer{Process: leader.Process, Address: leader.Address, Epoch: leader.Epoch, Agents: int(p.agents.Load())}
 }
--- a/internal/intake/leader_test.go
+++ b/internal/intake/leader_test.go
@@ -16,54 +16,54 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// knowing returns a pinger of an entry that knows a leader, or none.
-func knowing(epoch uint64) *Pinger {
-	followed := follow.New(kvtest.New(), record.LeaderKey, record.DecodeLeader, logging.Discard())
-	p := &Pinger{desk: &Server{config: Config{Leader: followed}}}
+// newTestPinger returns a pinger of an entry that follows a leader, or none for epoch 0.
+func newTestPinger(epoch uint64) *Pinger {
+	follower := follow.New(kvtest.New(), record.LeaderKey, record.DecodeLeader, logging.Discard())
+	p := &Pinger{server: &Server{config: Config{Leader: follower}}}
 	if epoch > 0 {
-		p.elect(epoch)
+		p.setLeader(epoch)
 	}
 	return p
 }
 
-// elect lets the entry learn of a leader.
-func (p *Pinger) elect(epoch uint64) {
-	p.desk.config.Leader.Offer(follow.Value[record.Leader]{Decoded: record.Leader{Process: "n", Address: "a", Epoch: epoch}, Revision: kv.Revision(epoch)})
+// setLeader sets the leader that the entry follows.
+func (p *Pinger) setLeader(epoch uint64) {
+	p.server.config.Leader.Offer(follow.Value[record.Leader]{Decoded: record.Leader{Process: "n", Address: "a", Epoch: epoch}, Revision: kv.Revision(epoch)})
 }
 
-// TestQuestionForALaterLeaderIsHeld until there is one, so that agents neither poll nor read the store.
-func TestQuestionForALaterLeaderIsHeld(t *testing.T) {
+// TestRequestForALaterLeaderWaits checks that the request waits for a later leader, so that agents need not poll or read the store.
+func TestRequestForALaterLeaderWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := knowing(7)
+		p := newTestPinger(7)
 		p.agents.Store(800)
-		answer, err := p.leader(t.Context(), nil, link.LeaderRequest{})
+		answer, err := p.handleLeader(t.Context(), nil, link.LeaderRequest{})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, answer, link.LeaderAnswer{Process: "n", Address: "a", Epoch: 7, Agents: 800})
 
-		asked := time.Now()
-		time.AfterFunc(leaderHold/2, func() { p.elect(8) })
-		answer, err = p.leader(t.Context(), nil, link.LeaderRequest{After: 7})
+		sentAt := time.Now()
+		time.AfterFunc(maxLeaderWait/2, func() { p.setLeader(8) })
+		answer, err = p.handleLeader(t.Context(), nil, link.LeaderRequest{After: 7})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Epoch, uint64(8))
-		assert.Equal(t, time.Since(asked), leaderHold/2)
+		assert.Equal(t, time.Since(sentAt), maxLeaderWait/2)
 
-		answer, err = p.leader(t.Context(), nil, link.LeaderRequest{After: 8})
+		answer, err = p.handleLeader(t.Context(), nil, link.LeaderRequest{After: 8})
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Epoch, uint64(8), "the same leader leads on")
+		assert.Equal(t, answer.Epoch, uint64(8), "the leader has not changed")
 
-		asked = time.Now()
-		_, err = p.leader(t.Context(), nil, link.LeaderRequest{After: 8, AtOnce: true})
+		sentAt = time.Now()
+		_, err = p.handleLeader(t.Context(), nil, link.LeaderRequest{After: 8, AtOnce: true})
 		assert.NilError(t, err)
-		assert.Equal(t, time.Since(asked), time.Duration(0), "an agent that follows a leader in doubt goes on reporting")
+		assert.Equal(t, time.Since(sentAt), time.Duration(0), "an agent of an unverified leader gets its answer at once")
 	})
 }
 
-func TestEntryWithoutALeaderSaysWhenToReturn(t *testing.T) {
+func TestEntryWithoutALeaderReturnsARetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := time.Now()
-		_, err := knowing(0).leader(t.Context(), nil, link.LeaderRequest{})
+		sentAt := time.Now()
+		_, err := newTestPinger(0).handleLeader(t.Context(), nil, link.LeaderRequest{})
 		assert.Equal(t, fault.KindOf(err), fault.Unavailable)
-		assert.Equal(t, fault.RetryAfter(err), leaderRetry)
-		assert.Equal(t, time.Since(asked), leaderHold)
+		assert.Equal(t, fault.RetryAfter(err), leaderRetryAfter)
+		assert.Equal(t, time.Since(sentAt), maxLeaderWait)
 	})
 }
--- a/internal/intake/pinger.go
+++ b/internal/intake/pinger.go
@@ -17,201 +17,201 @@
 )
 
 const (
-	// pingEvery is how often an entry tells the lead of itself; a quarter of the shortest time in which a
-	// configuration has to be in force.
-	pingEvery = 500 * time.Millisecond
-	// pingPatience bounds the answer.
-	pingPatience = 700 * time.Millisecond
-	// offerPause lies before the ping that brings the leader a configuration that it lacks.
-	offerPause = 10 * time.Millisecond
-	// probeEvery is how often an entry tells the lead of itself, and finds out whether the store answers it, while the store
-	// answers the lead no more; probePatience bounds the answer.
-	probeEvery    = 200 * time.Millisecond
-	probePatience = 200 * time.Millisecond
-	// awayFor is how long the store is taken to be away after a probe: until some more of them.
-	awayFor = 5 * probeEvery
-	// alertFor is how long an entry pings more often after it was told of the store.
-	alertFor = time.Second
-	// askPatience bounds the question who leads now.
-	askPatience = 500 * time.Millisecond
+	// pingInterval is the interval of an entry's pings to the leader, a quarter of the shortest time within which a configuration must
+	// take effect.
+	pingInterval = 500 * time.Millisecond
+	// pingTimeout bounds the answer.
+	pingTimeout = 700 * time.Millisecond
+	// offerDelay is the delay before the ping that sends the leader a configuration that it lacks.
+	offerDelay = 10 * time.Millisecond
+	// probeInterval is the interval of pings and store probes while the store does not answer the leader; probeTimeout bounds the
+	// answers.
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = 200 * time.Millisecond
+	// unavailableDuration is how long the store counts as unavailable after a failed probe, long enough for several more probes.
+	unavailableDuration = 5 * probeInterval
+	// alertDuration is how long an entry pings more often after the leader reported a change of the store.
+	alertDuration = time.Second
+	// queryTimeout bounds a read of the leader record.
+	queryTimeout = 500 * time.Millisecond
 )
 
-// Successor stands for the lead in place of one that is gone.
+// Successor may take over leadership from a lost leader.
 type Successor interface {
 	// IsLeader reports whether this entry leads.
 	IsLeader() bool
-	// SuspectLeader says that the lead of an epoch may be replaced.
+	// SuspectLeader reports that the leader of an epoch may be replaced.
 	SuspectLeader(epoch uint64, reason string)
-	// TakeOver says that the leader of an epoch asks this entry to lead.
+	// TakeOver reports that the leader of an epoch asks this entry to take over.
 	TakeOver(epoch uint64)
-	// SetRank stores the place of this entry among those that may lead next, 0 for none.
-	SetRank(place int)
+	// SetRank sets the rank of this entry among the candidates for the next term, 0 for none.
+	SetRank(rank int)
 }
 
-// Pinger tells the lead of an entry, and hears from it of the configuration, of other entries and of the store.
+// Pinger pings the leader; the answers carry the configuration, the other entries, and the availability of the store.
 type Pinger struct {
-	desk      *Server
+	server    *Server
 	self      Self
 	successor Successor
-	// told wakes it when the lead says that the store is away, or back.
-	told chan struct{}
-	// sendValue says that the lead needs this entry's configuration, probing that the store answers neither the lead nor this
+	// storeChanged wakes Run when the leader reports that the store became unreachable or reachable again.
+	storeChanged chan struct{}
+	// sendValue is set if the leader lacks this entry's configuration, storeDown if the store answers neither the leader nor this
 	// entry.
 	sendValue bool
-	probing   bool
-	// list is which list of entries the leader of an epoch has told.
-	list      uint64
-	listEpoch uint64
-	// confirmed is when a leader answered last, or was last read from the store.
-	confirmed time.Time
-	// agents is how many agents the leader had.
+	storeDown bool
+	// entriesVersion is the version of the list of entries received from the leader of entriesEpoch.
+	entriesVersion uint64
+	entriesEpoch   uint64
+	// confirmedAt is when a leader last answered, or its record was last read from the store.
+	confirmedAt time.Time
+	// agents is the number of agents that report to the leader.
 	agents atomic.Int64
 }
 
-// Self is what an entry tells of itself: its name, where others reach it, and the processor share of its VM.
+// Self identifies an entry by its process and address, and gives the processor share of its VM.
 type Self struct {
 	Process, Address string
 	Strength         float64
 }
 
 // NewPinger returns the pinger of an entry.
-func NewPinger(desk *Server, self Self, successor Successor) *Pinger {
-	return &Pinger{desk: desk, self: self, successor: successor, told: make(chan struct{}, 1)}
+func NewPinger(server *Server, self Self, successor Successor) *Pinger {
+	return &Pinger{server: server, self: self, successor: successor, storeChanged: make(chan struct{}, 1)}
 }
 
-// Register adds the methods by which the lead says at once that the store is away or back, and agents learn who leads.
+// Register adds the methods by which the leader reports that the store has become unreachable or reachable, and agents find the leader.
 func (p *Pinger) Register(m *rpc.Mux) {
 	rpc.Handle(m, link.MethodStore, func(context.Context, *rpc.Peer, link.Empty) (link.Empty, error) {
-		wait.Notify(p.told)
+		wait.Notify(p.storeChanged)
 		return link.Empty{}, nil
 	})
-	rpc.Handle(m, link.MethodLeader, p.leader)
+	rpc.Handle(m, link.MethodLeader, p.handleLeader)
 }
 
-// Run pings the lead until ctx ends.
+// Run pings the leader until ctx ends.
 func (p *Pinger) Run(ctx context.Context) {
-	var alert time.Time
+	var alertedAt time.Time
 	for ctx.Err() == nil {
-		ended, err := p.ping(ctx)
+		disconnected, err := p.ping(ctx)
 		if err != nil && ctx.Err() == nil {
-			p.desk.logger.Debug("the lead was not reached: %v", err)
-			p.lost(ctx, err)
+			p.server.logger.Debug("ping to the leader failed: %v", err)
+			p.handlePingError(ctx, err)
 		}
 		if !p.successor.IsLeader() {
-			p.reconfirm(ctx)
+			p.refreshLeader(ctx)
 		}
-		pause := pingEvery
+		delay := pingInterval
 		if p.sendValue {
-			pause = offerPause
+			delay = offerDelay
 		}
-		if p.probing || time.Since(alert) < alertFor {
-			pause = probeEvery
+		if p.storeDown || time.Since(alertedAt) < alertDuration {
+			delay = probeInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-ended:
-		case <-p.told:
-			alert = time.Now()
-			_ = p.ask(ctx)
-		case <-time.After(pause):
+		case <-disconnected:
+		case <-p.storeChanged:
+			alertedAt = time.Now()
+			_ = p.probeStore(ctx)
+		case <-time.After(delay):
 		}
 	}
 }
 
-// ask asks the store for something, so that the next ping tells how it answers this entry now.
-func (p *Pinger) ask(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, probePatience)
+// probeStore reads a key of the store, so that the next ping reports whether the store currently answers this entry.
+func (p *Pinger) probeStore(ctx context.Context) error {
+	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := p.desk.config.Direct.Get(bounded, record.LastCommitKey)
+	_, err := p.server.config.Direct.Get(bounded, record.LastCommitKey)
 	return err
 }
 
-// ping tells the lead once, and returns a channel that is closed when the connection to it ends; nil where there is none.
+// ping pings the leader once and returns a channel that is closed when the connection to it ends, nil if there is no connection.
 func (p *Pinger) ping(ctx context.Context) (<-chan struct{}, error) {
-	config := &p.desk.config
-	lead, known := config.Leader.Value()
-	if !known || lead.Revision == 0 || lead.Decoded.Address == p.self.Address {
-		p.desk.leaderAnswers.Store(false)
-		p.back()
-		if known && lead.Revision != 0 && !p.successor.IsLeader() {
-			p.askWhoLeads(ctx)
+	config := &p.server.config
+	leader, known := config.Leader.Value()
+	if !known || leader.Revision == 0 || leader.Decoded.Address == p.self.Address {
+		p.server.leaderAnswers.Store(false)
+		p.markAvailable()
+		if known && leader.Revision != 0 && !p.successor.IsLeader() {
+			p.findLeader(ctx)
 		}
 		return nil, nil
 	}
-	patience := pingPatience
-	if p.probing {
-		patience = probePatience
+	timeout := pingTimeout
+	if p.storeDown {
+		timeout = probeTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, patience)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	peer, err := config.Pool.Peer(bounded, lead.Decoded.Address)
+	peer, err := config.Pool.Peer(bounded, leader.Decoded.Address)
 	if err != nil {
-		p.desk.leaderAnswers.Store(false)
+		p.server.leaderAnswers.Store(false)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.successor.SuspectLeader(lead.Decoded.Epoch, "its VM refuses connections")
+			p.successor.SuspectLeader(leader.Decoded.Epoch, "its VM refuses connections")
 		}
 		return nil, err
 	}
-	own := config.Policies.Offer()
-	answer, err := rpc.Call[link.Ping, link.PingAnswer](bounded, peer, link.MethodPing, p.message(lead.Decoded.Epoch, own))
+	offer := config.Policies.Offer()
+	answer, err := rpc.Call[link.Ping, link.PingAnswer](bounded, peer, link.MethodPing, p.newPing(leader.Decoded.Epoch, offer))
 	p.sendValue = false
-	p.desk.leaderAnswers.Store(err == nil)
+	p.server.leaderAnswers.Store(err == nil)
 	if err != nil {
 		if !fault.Is(err, fault.Stale) {
-			config.Pool.Drop(lead.Decoded.Address)
+			config.Pool.Drop(leader.Decoded.Address)
 		}
 		return nil, err
 	}
 	p.agents.Store(int64(answer.Agents))
 	config.Pool.Add(answer.Entries)
-	p.list, p.listEpoch = answer.EntriesVersion, lead.Decoded.Epoch
+	p.entriesVersion, p.entriesEpoch = answer.EntriesVersion, leader.Decoded.Epoch
 	config.Policies.Accept(answer.Offer)
-	p.sendValue = answer.Revision != 0 && answer.Revision < own.Revision
+	p.sendValue = answer.Revision != 0 && answer.Revision < offer.Revision
 	p.successor.SetRank(answer.Rank)
-	p.vouch(answer)
-	p.heed(ctx, lead.Decoded.Epoch, answer)
+	p.confirm(answer)
+	p.applyAnswer(ctx, leader.Decoded.Epoch, answer)
 	return peer.Done(), nil
 }
 
-// vouch lets this entry ask the store less often for what its leader has just confirmed.
-func (p *Pinger) vouch(answer link.PingAnswer) {
-	p.confirmed = time.Now()
+// confirm records that the leader has just confirmed its record and the configuration, which this entry then reads less often.
+func (p *Pinger) confirm(answer link.PingAnswer) {
+	p.confirmedAt = time.Now()
 	if answer.Unverified || answer.StoreDown {
 		return
 	}
-	p.desk.config.Leader.Confirm()
+	p.server.config.Leader.Confirm()
 	if !p.sendValue {
-		p.desk.config.Policies.Confirm()
+		p.server.config.Policies.Confirm()
 	}
 }
 
-// unconfirmedFor is how long after the last answer of a leader an entry reads itself who leads: a watch may wait for longer on a connection that
-// has gone silent.
-const unconfirmedFor = 1500 * time.Millisecond
+// confirmationTimeout is how long after a leader's last answer an entry reads the leader record itself; a watch of the record may wait
+// longer on an unresponsive connection.
+const confirmationTimeout = 1500 * time.Millisecond
 
-// reconfirm reads who leads where no leader has answered for a while.
-func (p *Pinger) reconfirm(ctx context.Context) {
-	if p.confirmed.IsZero() || time.Since(p.confirmed) < unconfirmedFor {
+// refreshLeader reads the leader record if no leader has answered for a while.
+func (p *Pinger) refreshLeader(ctx context.Context) {
+	if p.confirmedAt.IsZero() || time.Since(p.confirmedAt) < confirmationTimeout {
 		return
 	}
-	p.confirmed = time.Now()
-	bounded, cancel := context.WithTimeout(ctx, askPatience)
+	p.confirmedAt = time.Now()
+	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	if _, err := p.desk.config.Leader.Refresh(bounded); err != nil {
-		p.desk.logger.Debug("who leads could not be read: %v", err)
+	if _, err := p.server.config.Leader.Refresh(bounded); err != nil {
+		p.server.logger.Debug("leader record could not be read: %v", err)
 	}
 }
 
-// message returns what the lead is told.
-func (p *Pinger) message(epoch uint64, own link.Offer) link.Ping {
+// newPing returns a ping to the leader of an epoch.
+func (p *Pinger) newPing(epoch uint64, offer link.Offer) link.Ping {
 	m := link.Ping{
-		Entry: p.self.Process, Address: p.self.Address, Strength: p.self.Strength, Epoch: epoch, StoreAgeMillis: -1, Offer: own,
+		Entry: p.self.Process, Address: p.self.Address, Strength: p.self.Strength, Epoch: epoch, StoreAgeMillis: -1, Offer: offer,
 	}
-	if answered := p.desk.config.Health.LastAnswer(); !answered.IsZero() {
+	if answered := p.server.config.Health.LastAnswer(); !answered.IsZero() {
 		m.StoreAgeMillis = time.Since(answered).Milliseconds()
 	}
-	if p.listEpoch == epoch {
-		m.EntriesVersion = p.list
+	if p.entriesEpoch == epoch {
+		m.EntriesVersion = p.entriesVersion
 	}
 	if !p.sendValue {
 		m.Value = nil
@@ -219,67 +219,67 @@
 	return m
 }
 
-// lost takes note that nobody tells of the store any more.
-func (p *Pinger) lost(ctx context.Context, err error) {
-	p.back()
+// handlePingError marks the store available, since no leader reports its state any more, and looks for a new leader.
+func (p *Pinger) handlePingError(ctx context.Context, err error) {
+	p.markAvailable()
 	if fault.Is(err, fault.Stale) {
-		p.askWhoLeads(ctx)
+		p.findLeader(ctx)
 	}
 }
 
-// askWhoLeads asks through other entries who leads, where the store does not answer this one, which cannot follow the lead.
-func (p *Pinger) askWhoLeads(ctx context.Context) {
-	if !p.desk.config.Health.Down() {
+// findLeader reads the leader record through other entries if the store does not answer this one, which then cannot follow the record.
+func (p *Pinger) findLeader(ctx context.Context) {
+	if !p.server.config.Health.Down() {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, askPatience)
+	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	item, err := p.desk.config.Store.Get(bounded, record.LeaderKey)
+	item, err := p.server.config.Store.Get(bounded, record.LeaderKey)
 	if err != nil || item.Revision() == 0 {
 		return
 	}
-	if held, err := record.DecodeLeader(item.Value()); err == nil {
-		p.desk.config.Leader.Offer(follow.Value[record.Leader]{Decoded: held, Revision: item.Revision()})
+	if decoded, err := record.DecodeLeader(item.Value()); err == nil {
+		p.server.config.Leader.Offer(follow.Value[record.Leader]{Decoded: decoded, Revision: item.Revision()})
 	}
 }
 
-// heed acts on what the lead knows of the store.
-func (p *Pinger) heed(ctx context.Context, epoch uint64, answer link.PingAnswer) {
+// applyAnswer acts on the leader's knowledge of the store.
+func (p *Pinger) applyAnswer(ctx context.Context, epoch uint64, answer link.PingAnswer) {
 	switch {
 	case answer.TakeOver:
 		p.successor.TakeOver(epoch)
-		p.back()
+		p.markAvailable()
 	case answer.StoreDown:
-		p.probe(ctx)
+		p.handleStoreDown(ctx)
 	case answer.Probe:
-		p.back()
-		if p.ask(ctx) == nil {
-			wait.Notify(p.told)
+		p.markAvailable()
+		if p.probeStore(ctx) == nil {
+			wait.Notify(p.storeChanged)
 		}
 	default:
-		p.back()
+		p.markAvailable()
 	}
 }
 
-// back takes note that the store is not known to be away.
-func (p *Pinger) back() {
-	if !p.probing {
+// markAvailable records that the store is not known to be unavailable.
+func (p *Pinger) markAvailable() {
+	if !p.storeDown {
 		return
 	}
-	p.desk.logger.Info("callers are served again; the store is not known to be away")
-	p.probing = false
-	p.desk.config.Store.SetAvailable()
+	p.server.logger.Info("callers are served again; the store is no longer known to be unavailable")
+	p.storeDown = false
+	p.server.config.Store.SetAvailable()
 }
 
-// probe finds out whether the store answers this entry, where it does not answer the lead.
-func (p *Pinger) probe(ctx context.Context) {
-	if err := p.ask(ctx); err != nil && !p.desk.config.Health.Limited() {
-		if !p.probing {
-			p.desk.logger.Warn("the store answers neither the lead nor this entry; callers are refused: %v", err)
+// handleStoreDown probes the store, which does not answer the leader, and refuses callers if it does not answer this entry either.
+func (p *Pinger) handleStoreDown(ctx context.Context) {
+	if err := p.probeStore(ctx); err != nil && !p.server.config.Health.Limited() {
+		if !p.storeDown {
+			p.server.logger.Warn("the store answers neither the leader nor this entry; callers are refused: %v", err)
 		}
-		p.probing = true
-		p.desk.config.Store.SetUnavailable(awayFor)
+		p.storeDown = true
+		p.server.config.Store.SetUnavailable(unavailableDuration)
 		return
 	}
-	p.back()
+	p.markAvailable()
 }
--- a/internal/intake/pinger_test.go
+++ b/internal/intake/pinger_test.go
@@ -26,68 +26,68 @@
 
 const secret = "a secret of tests"
 
-// turningAway is a store that turns this process away, or not, and tells its health.
-type turningAway struct {
+// rejectingStore is a store that can reject the calls of this process, and records its health.
+type rejectingStore struct {
 	*kvtest.Store
 	health *kv.Health
 
-	mu    sync.Mutex
-	away  bool
-	asked int
+	mu        sync.Mutex
+	rejecting bool
+	callCount int
 }
 
-func (s *turningAway) set(away bool) {
+func (s *rejectingStore) set(rejecting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.rejecting = rejecting
 }
 
-// calls returns how often the store was asked.
-func (s *turningAway) calls() int {
+// calls returns how often the store was called.
+func (s *rejectingStore) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.callCount
 }
 
 // Get implements kv.Store.
-func (s *turningAway) Get(ctx context.Context, key string) (kv.Item, error) {
+func (s *rejectingStore) Get(ctx context.Context, key string) (kv.Item, error) {
 	s.mu.Lock()
-	away := s.away
-	s.asked++
+	rejecting := s.rejecting
+	s.callCount++
 	s.mu.Unlock()
-	asked := time.Now()
-	if away {
-		err := fault.New(fault.Unavailable, "turned away")
-		s.health.Record(asked, err)
+	sentAt := time.Now()
+	if rejecting {
+		err := fault.New(fault.Unavailable, "rejected by the store")
+		s.health.Record(sentAt, err)
 		return kv.Item{}, err
 	}
-	s.health.Record(asked, nil)
+	s.health.Record(sentAt, nil)
 	return s.Store.Get(ctx, key)
 }
 
-// suspicions is a successor that notes whom it may replace.
-type suspicions struct {
+// fakeSuccessor is a successor that records the epochs of the suspected leaders.
+type fakeSuccessor struct {
 	mu     sync.Mutex
 	epochs []uint64
 }
 
-func (s *suspicions) IsLeader() bool { return false }
+func (s *fakeSuccessor) IsLeader() bool { return false }
 
-func (s *suspicions) SetRank(int) {}
+func (s *fakeSuccessor) SetRank(int) {}
 
-// JobState implements Leader; this entry does not lead.
-func (s *suspicions) JobState(job.ID) (job.State, bool) { return job.Queued, false }
+// JobState implements LocalDispatcher for an entry that does not lead.
+func (s *fakeSuccessor) JobState(job.ID) (job.State, bool) { return job.Queued, false }
 
-func (s *suspicions) TakeOver(epoch uint64) { s.SuspectLeader(epoch, "") }
+func (s *fakeSuccessor) TakeOver(epoch uint64) { s.SuspectLeader(epoch, "") }
 
-func (s *suspicions) SuspectLeader(epoch uint64, _ string) {
+func (s *fakeSuccessor) SuspectLeader(epoch uint64, _ string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epochs = append(s.epochs, epoch)
 }
 
-// fakeLead answers pings as it is set to.
-type fakeLead struct {
+// fakeLeader answers pings with a configured answer.
+type fakeLeader struct {
 	mu     sync.Mutex
 	answer link.PingAnswer
 	err    error
@@ -95,21 +95,21 @@
 	state  link.JobStateAnswer
 }
 
-// tell sets what the lead answers of a job.
-func (l *fakeLead) tell(state link.JobStateAnswer) {
+// setJobState sets the answer to requests for the state of a job.
+func (l *fakeLeader) setJobState(state link.JobStateAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = state
 }
 
-func (l *fakeLead) set(answer link.PingAnswer, err error) {
+func (l *fakeLeader) set(answer link.PingAnswer, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answer, l.err = answer, err
 }
 
-// serve returns the address of the lead and what ends it.
-func (l *fakeLead) serve(t *testing.T) (string, func()) {
+// serve returns the address of the leader and a function that stops it.
+func (l *fakeLeader) serve(t *testing.T) (string, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -130,68 +130,68 @@
 	return listener.Addr().String(), server.Close
 }
 
-// entry is an entry that pings a lead.
-type entry struct {
+// testEntry is an entry that pings a fake leader.
+type testEntry struct {
 	*Pinger
-	store     *turningAway
-	suspected *suspicions
-	lead      *fakeLead
-	endLead   func()
+	store       *rejectingStore
+	successor   *fakeSuccessor
+	leader      *fakeLeader
+	closeLeader func()
 }
 
-func newEntry(t *testing.T) *entry {
+func newTestEntry(t *testing.T) *testEntry {
 	t.Helper()
 	health := &kv.Health{}
-	e := &entry{store: &turningAway{Store: kvtest.New(), health: health}, suspected: &suspicions{}, lead: &fakeLead{}}
-	address, end := e.lead.serve(t)
-	e.endLead = end
+	e := &testEntry{store: &rejectingStore{Store: kvtest.New(), health: health}, successor: &fakeSuccessor{}, leader: &fakeLeader{}}
+	address, end := e.leader.serve(t)
+	e.closeLeader = end
 	pool := relay.NewPool("self", secret, rpc.NewMux(timeline.NewClock(time.Now)), nil)
-	followed := follow.New(e.store, record.LeaderKey, record.DecodeLeader, logging.Discard())
-	followed.Offer(follow.Value[record.Leader]{Decoded: record.Leader{Process: "lead", Address: address, Epoch: 7}, Revision: 1})
+	follower := follow.New(e.store, record.LeaderKey, record.DecodeLeader, logging.Discard())
+	follower.Offer(follow.Value[record.Leader]{Decoded: record.Leader{Process: "lead", Address: address, Epoch: 7}, Revision: 1})
 	decode := func([]byte) (*policy.Policy, error) { return nil, fault.New(fault.BadInput, "none") }
-	desk := New(Config{
-		Store: relay.New(e.store, health, pool), Direct: e.store, Health: health, Pool: pool, Leader: followed, Dispatcher: e.suspected,
+	server := New(Config{
+		Store: relay.New(e.store, health, pool), Direct: e.store, Health: health, Pool: pool, Leader: follower, Dispatcher: e.successor,
 		Policies: NewPolicies(e.store, "config", decode, logging.Discard()), Logger: logging.Discard(), Metrics: metric.New(),
 	})
-	e.Pinger = NewPinger(desk, Self{Process: "self", Address: "self", Strength: 0.8}, e.suspected)
+	e.Pinger = NewPinger(server, Self{Process: "self", Address: "self", Strength: 0.8}, e.successor)
 	return e
 }
 
-// pinged pings once and returns the error.
-func (e *entry) pinged(t *testing.T) error {
+// pingOnce pings once and returns the error.
+func (e *testEntry) pingOnce(t *testing.T) error {
 	t.Helper()
 	_, err := e.ping(t.Context())
 	if err != nil {
-		e.lost(t.Context(), err)
+		e.handlePingError(t.Context(), err)
 	}
 	return err
 }
 
-// TestCallersAreRefusedOnceStoreAnswersNeitherLeadNorEntry failed while each entry found out by time-outs of its callers.
-func TestCallersAreRefusedOnceStoreAnswersNeitherLeadNorEntry(t *testing.T) {
-	e := newEntry(t)
+// TestCallersAreRefusedWhileTheStoreIsDown guards against each entry detecting an outage only by the timeouts of its callers.
+func TestCallersAreRefusedWhileTheStoreIsDown(t *testing.T) {
+	e := newTestEntry(t)
 	// refuses reports whether a caller is refused without a call to the store.
 	refuses := func() bool {
 		before := e.store.calls()
-		_, err := e.desk.config.Store.Get(t.Context(), record.LastCommitKey)
+		_, err := e.server.config.Store.Get(t.Context(), record.LastCommitKey)
 		return fault.Is(err, fault.Unavailable) && e.store.calls() == before
 	}
-	e.lead.set(link.PingAnswer{StoreDown: true}, nil)
-	assert.NilError(t, e.pinged(t))
+	e.leader.set(link.PingAnswer{StoreDown: true}, nil)
+	assert.NilError(t, e.pingOnce(t))
 	assert.Assert(t, !refuses(), "the store answers this entry")
 	e.store.set(true)
-	assert.NilError(t, e.pinged(t))
+	assert.NilError(t, e.pingOnce(t))
 	assert.Assert(t, refuses())
 	e.store.set(false)
-	assert.Assert(t, refuses(), "nothing was asked since")
-	e.lead.set(link.PingAnswer{}, nil)
-	assert.NilError(t, e.pinged(t))
+	assert.Assert(t, refuses(), "the store was not called since")
+	e.leader.set(link.PingAnswer{}, nil)
+	assert.NilError(t, e.pingOnce(t))
 	assert.Assert(t, !refuses())
 }
 
-// TestEntryTurnedAwayFindsTheNextLeadThroughOthers failed with the earlier lead, to which the entry kept for nine seconds.
-func TestEntryTurnedAwayFindsTheNextLeadThroughOthers(t *testing.T) {
-	e := newEntry(t)
+// TestRejectedEntryFindsTheNextLeaderThroughOthers guards against an entry that kept following the previous leader for nine seconds.
+func TestRejectedEntryFindsTheNextLeaderThroughOthers(t *testing.T) {
+	e := newTestEntry(t)
 	next, err := record.Encode(record.Leader{Process: "next", Address: "127.0.0.1:1", Epoch: 8})
 	assert.NilError(t, err)
 	_, err = e.store.Commit(t.Context(), kv.Txn{Puts: []kv.Put{{Key: "other"}, {Key: record.LeaderKey, Value: next}}})
@@ -204,32 +204,32 @@
 	Register(mux, e.store.Store, &kv.Health{})
 	server := rpc.Serve(listener, secret, mux, rpc.ProcessLimits())
 	defer server.Close()
-	e.desk.config.Pool.Add([]string{listener.Addr().String()})
+	e.server.config.Pool.Add([]string{listener.Addr().String()})
 	e.store.set(true)
 	for range 2 {
-		_ = e.ask(t.Context())
+		_ = e.probeStore(t.Context())
 	}
-	e.lead.set(link.PingAnswer{}, fault.New(fault.Stale, "this entry does not lead"))
-	assert.Assert(t, fault.Is(e.pinged(t), fault.Stale))
-	lead, _ := e.desk.config.Leader.Value()
-	assert.Equal(t, lead.Decoded.Epoch, uint64(8))
-}
-
-func TestLeadWhoseVMRefusesConnectionsIsSuspected(t *testing.T) {
-	e := newEntry(t)
-	assert.NilError(t, e.pinged(t))
-	assert.Equal(t, e.lead.pings[0].Strength, 0.8)
-	assert.Equal(t, len(e.suspected.epochs), 0)
-	e.endLead()
-	for e.pinged(t) == nil || len(e.suspected.epochs) == 0 {
+	e.leader.set(link.PingAnswer{}, fault.New(fault.Stale, "this entry is not the leader"))
+	assert.Assert(t, fault.Is(e.pingOnce(t), fault.Stale))
+	leader, _ := e.server.config.Leader.Value()
+	assert.Equal(t, leader.Decoded.Epoch, uint64(8))
+}
+
+func TestLeaderWhoseVMRefusesConnectionsIsSuspected(t *testing.T) {
+	e := newTestEntry(t)
+	assert.NilError(t, e.pingOnce(t))
+	assert.Equal(t, e.leader.pings[0].Strength, 0.8)
+	assert.Equal(t, len(e.successor.epochs), 0)
+	e.closeLeader()
+	for e.pingOnce(t) == nil || len(e.successor.epochs) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, e.suspected.epochs[0], uint64(7))
+	assert.Equal(t, e.successor.epochs[0], uint64(7))
 }
 
-func TestEntryThatIsToLeadStandsForIt(t *testing.T) {
-	e := newEntry(t)
-	e.lead.set(link.PingAnswer{TakeOver: true}, nil)
-	assert.NilError(t, e.pinged(t))
-	assert.DeepEqual(t, e.suspected.epochs, []uint64{7})
+func TestEntryAskedToTakeOverCampaigns(t *testing.T) {
+	e := newTestEntry(t)
+	e.leader.set(link.PingAnswer{TakeOver: true}, nil)
+	assert.NilError(t, e.pingOnce(t))
+	assert.DeepEqual(t, e.successor.epochs, []uint64{7})
 }
--- a/internal/intake/state_test.go
+++ b/internal/intake/state_test.go
@@ -15,34 +15,35 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// TestStateOfAJobIsAskedOfTheLeader, which knows of the last end before it is committed; where it cannot tell or does not answer, the store is read.
-func TestStateOfAJobIsAskedOfTheLeader(t *testing.T) {
+// TestStateIsReadFromTheLeader checks that the leader is asked first, since it knows the end of a job before it is committed, and that
+// the store is read if the leader does not know the state or does not answer.
+func TestStateIsReadFromTheLeader(t *testing.T) {
 	const id = job.ID("00000000000000aa")
 	routes := []policy.Route{{Host: "h", Prefix: "/q/"}}
-	e := newEntry(t)
-	held := configuration{policy: policy.New(1, routes, nil, 0)}
-	e.desk.config.Policies.follower.Offer(follow.Value[configuration]{Decoded: held, Revision: 1})
+	e := newTestEntry(t)
+	decoded := configuration{policy: policy.New(1, routes, nil, 0)}
+	e.server.config.Policies.follower.Offer(follow.Value[configuration]{Decoded: decoded, Revision: 1})
 	state := func() (job.State, error) {
-		return e.desk.State(t.Context(), Address{Host: "h", Path: "/q/" + string(id)})
+		return e.server.State(t.Context(), Address{Host: "h", Path: "/q/" + string(id)})
 	}
 	_, err := state()
 	assert.Assert(t, fault.Is(err, fault.Gone), "%v", err)
 	_, err = e.store.Commit(context.Background(), kv.Txn{Puts: []kv.Put{{Key: record.JobKey(id), Value: []byte("x")}}})
 	assert.NilError(t, err)
 
-	e.lead.tell(link.JobStateAnswer{Known: true, State: int(job.Completed)})
-	shown, err := state()
+	e.leader.setJobState(link.JobStateAnswer{Known: true, State: int(job.Completed)})
+	got, err := state()
 	assert.NilError(t, err)
-	assert.Equal(t, shown, job.Queued, "the leader has not answered a ping")
-	assert.NilError(t, e.pinged(t))
+	assert.Equal(t, got, job.Queued, "the leader has not answered a ping yet")
+	assert.NilError(t, e.pingOnce(t))
 	before := e.store.calls()
-	shown, err = state()
+	got, err = state()
 	assert.NilError(t, err)
-	assert.Equal(t, shown, job.Completed)
+	assert.Equal(t, got, job.Completed)
 	assert.Equal(t, e.store.calls(), before)
 
-	e.lead.tell(link.JobStateAnswer{})
-	shown, err = state()
+	e.leader.setJobState(link.JobStateAnswer{})
+	got, err = state()
 	assert.NilError(t, err)
-	assert.Equal(t, shown, job.Queued, "the leader cannot tell")
+	assert.Equal(t, got, job.Queued, "the leader does not know the state")
 }
--- a/internal/intake/storeproxy.go
+++ b/internal/intake/storeproxy.go
@@ -9,19 +9,19 @@
 	"github.com/saffronpulley/saffronpulley/internal/rpc"
 )
 
-// Register adds the methods by which other processes reach the store through this entry; what the store does not answer this
-// entry either is refused at once.
+// Register adds the methods by which other processes call the store through this entry; calls are refused at once while the store does
+// not answer this entry either.
 func Register(m *rpc.Mux, store kv.Store, health *kv.Health) {
 	rpc.Handle(m, link.MethodGet, func(ctx context.Context, _ *rpc.Peer, g link.Get) (link.Item, error) {
 		if health.Down() {
-			return link.Item{}, errNoWay
+			return link.Item{}, errStoreDown
 		}
 		item, err := store.Get(ctx, g.Key)
 		return link.Item{Value: item.Value(), Revision: uint64(item.Revision())}, err
 	})
 	rpc.Handle(m, link.MethodCommit, func(ctx context.Context, _ *rpc.Peer, c link.Commit) (link.CommitAnswer, error) {
 		if health.Down() {
-			return link.CommitAnswer{}, errNoWay
+			return link.CommitAnswer{}, errStoreDown
 		}
 		var change kv.Txn
 		for key, revision := range c.Conditions {
@@ -35,4 +35,4 @@
 	})
 }
 
-var errNoWay = fault.New(fault.Unavailable, "the store does not answer this entry either, nothing was sent to it")
+var errStoreDown = fault.New(fault.Unavailable, "the store does not answer this entry either, nothing was sent to it")
--- a/internal/intake/unknownoutcomes.go
+++ b/internal/intake/unknownoutcomes.go
@@ -9,48 +9,47 @@
 )
 
 const (
-	// doubtFor is how long it is remembered that a job may have been taken: far beyond the time for which callers try.
-	doubtFor = time.Minute
-	// mostDoubts bounds the jobs that are remembered.
-	mostDoubts = 10_000
+	// unknownRetention is how long a job of unknown outcome is kept, far longer than callers retry.
+	unknownRetention = time.Minute
+	// maxUnknownJobs bounds the number of these jobs.
+	maxUnknownJobs = 10_000
 )
 
-// doubts remembers jobs of which it is not known whether they were taken, so that no later attempt is told that they
-// were not.
-type doubts struct {
+// unknownJobs holds the jobs whose submission has an unknown outcome, so that no later attempt is reported as not accepted.
+type unknownJobs struct {
 	mu   sync.Mutex
 	jobs map[job.ID]time.Time
 }
 
-func newDoubts() *doubts { return &doubts{jobs: make(map[job.ID]time.Time)} }
+func newUnknownJobs() *unknownJobs { return &unknownJobs{jobs: make(map[job.ID]time.Time)} }
 
-// settle takes note of the outcome of an attempt and returns what the caller is told.
-func (d *doubts) settle(id job.ID, err error) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// resolve records the outcome of an attempt and returns the error to report to the caller.
+func (u *unknownJobs) resolve(id job.ID, err error) error {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err == nil:
-		delete(d.jobs, id)
+		delete(u.jobs, id)
 		return nil
 	case fault.Is(err, fault.OutcomeUnknown):
-		d.add(id, now)
+		u.add(id, now)
 		return err
 	}
-	since, doubtful := d.jobs[id]
-	if !doubtful || now.Sub(since) > doubtFor {
+	since, isUnknown := u.jobs[id]
+	if !isUnknown || now.Sub(since) > unknownRetention {
 		return err
 	}
-	return fault.Wrap(err, fault.OutcomeUnknown, "an earlier attempt may have been taken").WithRetryAfter(fault.RetryAfter(err))
+	return fault.Wrap(err, fault.OutcomeUnknown, "an earlier attempt may have been accepted").WithRetryAfter(fault.RetryAfter(err))
 }
 
-func (d *doubts) add(id job.ID, now time.Time) {
-	if len(d.jobs) >= mostDoubts {
-		for other, since := range d.jobs {
-			if now.Sub(since) > doubtFor || len(d.jobs) >= mostDoubts {
-				delete(d.jobs, other)
+func (u *unknownJobs) add(id job.ID, now time.Time) {
+	if len(u.jobs) >= maxUnknownJobs {
+		for other, since := range u.jobs {
+			if now.Sub(since) > unknownRetention || len(u.jobs) >= maxUnknownJobs {
+				delete(u.jobs, other)
 			}
 		}
 	}
-	d.jobs[id] = now
+	u.jobs[id] = now
 }
--- a/internal/intake/unknownoutcomes_test.go
+++ b/internal/intake/unknownoutcomes_test.go
@@ -12,26 +12,26 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-func TestJobInDoubtIsNeverToldAsNotTaken(t *testing.T) {
+func TestUnknownOutcomeIsKeptAfterARefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDoubts()
+		u := newUnknownJobs()
 		refused := fault.New(fault.Unavailable, "away").WithRetryAfter(time.Second)
-		assert.Assert(t, fault.Is(d.settle("a", refused), fault.Unavailable))
-		assert.Assert(t, fault.Is(d.settle("a", fault.New(fault.OutcomeUnknown, "lost")), fault.OutcomeUnknown))
-		assert.Assert(t, fault.Is(d.settle("a", refused), fault.OutcomeUnknown))
-		assert.Assert(t, fault.Is(d.settle("b", refused), fault.Unavailable))
-		assert.NilError(t, d.settle("a", nil))
-		assert.Assert(t, fault.Is(d.settle("a", refused), fault.Unavailable))
-		_ = d.settle("a", fault.New(fault.OutcomeUnknown, "lost"))
-		time.Sleep(doubtFor + time.Second)
-		assert.Assert(t, fault.Is(d.settle("a", refused), fault.Unavailable))
+		assert.Assert(t, fault.Is(u.resolve("a", refused), fault.Unavailable))
+		assert.Assert(t, fault.Is(u.resolve("a", fault.New(fault.OutcomeUnknown, "lost")), fault.OutcomeUnknown))
+		assert.Assert(t, fault.Is(u.resolve("a", refused), fault.OutcomeUnknown))
+		assert.Assert(t, fault.Is(u.resolve("b", refused), fault.Unavailable))
+		assert.NilError(t, u.resolve("a", nil))
+		assert.Assert(t, fault.Is(u.resolve("a", refused), fault.Unavailable))
+		_ = u.resolve("a", fault.New(fault.OutcomeUnknown, "lost"))
+		time.Sleep(unknownRetention + time.Second)
+		assert.Assert(t, fault.Is(u.resolve("a", refused), fault.Unavailable))
 	})
 }
 
-func TestDoubtsAreBounded(t *testing.T) {
-	d := newDoubts()
-	for i := range 2 * mostDoubts {
-		_ = d.settle(job.ID(fmt.Sprint(i)), fault.New(fault.OutcomeUnknown, "lost"))
+func TestUnknownJobsAreBounded(t *testing.T) {
+	u := newUnknownJobs()
+	for i := range 2 * maxUnknownJobs {
+		_ = u.resolve(job.ID(fmt.Sprint(i)), fault.New(fault.OutcomeUnknown, "lost"))
 	}
-	assert.Assert(t, len(d.jobs) <= mostDoubts)
+	assert.Assert(t, len(u.jobs) <= maxUnknownJobs)
 }
