--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -1,2 +1,2 @@
-// Package fleettest plays fleets of a thousand real agents and entries over a network in memory, in fake time.
+// Package fleettest simulates fleets of a thousand real agents and entries over an in-memory network, in fake time.
 package fleettest
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -29,21 +29,21 @@
 )
 
 const (
-	// startSpread is the time over which processes start.
-	startSpread = 300 * time.Millisecond
-	seeds       = 3
-	closedWithin,
-	longestHold = 5 * time.Second, 6 * time.Second
-	// strong and weak are the processor shares of entries.
+	// startWindow is the period within which all processes start.
+	startWindow = 300 * time.Millisecond
+	seedEntries = 3
+	closureDelay,
+	maxRenewal = 5 * time.Second, 6 * time.Second
+	// strong and weak are the processor shares of the VMs of entries.
 	strong, weak = 1.6, 0.2
 )
 
-// size is how large a fleet is, with how many connections each entry takes.
+// size is the size of a fleet, with the number of connections that each entry accepts.
 type size struct {
 	agents, entries, peers int
 }
 
-// fleet is a store, entries and agents beside workers on which nothing runs.
+// fleet is a store, entries, and agents with idle workers.
 type fleet struct {
 	ctx     context.Context
 	size    size
@@ -56,7 +56,7 @@
 type entry struct {
 	address    string
 	client     *client
-	lead       *follow.Follower[record.Leader]
+	leader     *follow.Follower[record.Leader]
 	dispatcher *dispatch.Dispatcher
 	store      *relay.Store
 	end        func()
@@ -69,19 +69,19 @@
 
 func newFleet(ctx context.Context, s size) *fleet {
 	f := &fleet{ctx: ctx, size: s, store: newMeteredStore(), network: newNetwork()}
-	draw := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a fixed seed
-	after := func(start func()) {
-		time.AfterFunc(time.Duration(draw.Float64()*float64(startSpread)), start)
+	random := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a fixed seed
+	startLater := func(start func()) {
+		time.AfterFunc(time.Duration(random.Float64()*float64(startWindow)), start)
 	}
 	for i := range s.entries {
 		e := f.newEntry(i)
 		f.entries = append(f.entries, e)
-		after(func() { e.start(f) })
+		startLater(func() { e.start(f) })
 	}
 	for i := range s.agents {
-		a, run := f.newAgent(i, draw.Uint64())
+		a, run := f.newAgent(i, random.Uint64())
 		f.agents = append(f.agents, a)
-		after(run)
+		startLater(run)
 	}
 	return f
 }
@@ -90,7 +90,7 @@
 
 func seedAddresses() []string {
 	var addresses []string
-	for i := range seeds {
+	for i := range seedEntries {
 		addresses = append(addresses, addressOf(i))
 	}
 	return addresses
@@ -106,11 +106,11 @@
 
 func (f *fleet) newEntry(i int) *entry {
 	e := &entry{address: addressOf(i), client: f.newClient()}
-	e.lead = follow.New(e.client, record.LeaderKey, record.DecodeLeader, logging.Discard())
+	e.leader = follow.New(e.client, record.LeaderKey, record.DecodeLeader, logging.Discard())
 	return e
 }
 
-// start runs the parts of an entry until its end.
+// start starts the parts of an entry, which run until end is called.
 func (e *entry) start(f *fleet) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
@@ -123,11 +123,11 @@
 	}
 	e.store = relay.New(e.client, health, pool)
 	e.dispatcher = dispatch.New(dispatch.Config{
-		Process: e.address, Boot: e.address, Address: e.address, Strength: strength, Store: e.client, Health: health, Leader: e.lead,
-		Policies: policies, Closures: hall.New(e.client, "closed/", closedWithin, clock, logger), Uptime: clock, Logger: logger, Metrics: metric.New(),
+		Process: e.address, Boot: e.address, Address: e.address, Strength: strength, Store: e.client, Health: health, Leader: e.leader,
+		Policies: policies, Closures: hall.New(e.client, "closed/", closureDelay, clock, logger), Uptime: clock, Logger: logger, Metrics: metric.New(),
 	})
 	desk := intake.New(intake.Config{
-		Store: e.store, Direct: e.client, Health: health, Pool: pool, Policies: policies, Leader: e.lead, Dispatcher: e.dispatcher, Logger: logger, Metrics: metric.New(),
+		Store: e.store, Direct: e.client, Health: health, Pool: pool, Policies: policies, Leader: e.leader, Dispatcher: e.dispatcher, Logger: logger, Metrics: metric.New(),
 	})
 	pinger := intake.NewPinger(desk, intake.Self{Process: e.address, Address: e.address, Strength: strength}, e.dispatcher)
 	e.dispatcher.Register(mux)
@@ -135,7 +135,7 @@
 	intake.Register(mux, e.client, health)
 	server := rpc.Serve(f.network.listen(e.address), "", mux, rpc.Limits{Peers: f.size.peers})
 	go policies.Run(ctx)
-	go e.lead.Run(ctx)
+	go e.leader.Run(ctx)
 	go pinger.Run(ctx)
 	go e.dispatcher.Run(ctx)
 	e.end = func() {
@@ -145,14 +145,14 @@
 }
 
 func (f *fleet) newAgent(i int, seed uint64) (*agent, func()) {
-	a := &agent{client: f.newClient(), worker: &idleWorker{id: incarnation.New(fmt.Sprintf("i-%d", i), 1), began: time.Now()}}
+	a := &agent{client: f.newClient(), worker: &idleWorker{id: incarnation.New(fmt.Sprintf("i-%d", i), 1), startedAt: time.Now()}}
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
 	pool := f.newPool("", mux)
-	draw := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // a fixed seed
+	random := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // a fixed seed
 	r := runner.New(runner.Config{
-		VM: fmt.Sprintf("vm-%04d", i), ClosureDelay: closedWithin, MaxRenewal: longestHold, Worker: a.worker,
+		VM: fmt.Sprintf("vm-%04d", i), ClosureDelay: closureDelay, MaxRenewal: maxRenewal, Worker: a.worker,
 		Store: relay.New(a.client, a.client.health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: f.network.dial,
-		Uptime: &boottimetest.Clock{}, Random: draw.Float64, Logger: logging.Discard(), Metrics: metric.New(),
+		Uptime: &boottimetest.Clock{}, Random: random.Float64, Logger: logging.Discard(), Metrics: metric.New(),
 	})
 	return a, func() {
 		go func() { _ = r.Run(f.ctx) }()
@@ -162,7 +162,7 @@
 	}
 }
 
-// leader returns the entry that leads, nil where none does.
+// leader returns the entry that is the leader, nil if there is none.
 func (f *fleet) leader() *entry {
 	for _, e := range f.entries {
 		if e.dispatcher != nil && e.dispatcher.IsLeader() {
@@ -172,11 +172,11 @@
 	return nil
 }
 
-// held counts the workers that the n-th leader, or a later one, has shown its fence and given a lease.
-func (f *fleet) held(n uint64) int {
+// leasedWorkers counts the workers that have received a fence and a lease from the n-th leader or a later one.
+func (f *fleet) leasedWorkers(n uint64) int {
 	count := 0
 	for _, a := range f.agents {
-		if a.worker.fenced() > (n-1)*dispatch.FencesPerEpoch {
+		if a.worker.highestFence() > (n-1)*dispatch.FencesPerEpoch {
 			count++
 		}
 	}
@@ -200,33 +200,33 @@
 	return sum
 }
 
-// await waits until so many workers have a lease of the n-th leader, and returns how long that took.
-func (f *fleet) await(t *testing.T, n uint64, count int, most time.Duration) time.Duration {
+// awaitLeases waits until count workers have a lease of the n-th leader, and returns how long that took.
+func (f *fleet) awaitLeases(t *testing.T, n uint64, count int, timeout time.Duration) time.Duration {
 	t.Helper()
 	const step = 20 * time.Millisecond
-	began := time.Now()
-	for f.held(n) < count {
-		if time.Since(began) > most {
-			t.Fatalf("%d of %d workers have a lease of leader %d after %v", f.held(n), count, n, most)
+	startedAt := time.Now()
+	for f.leasedWorkers(n) < count {
+		if time.Since(startedAt) > timeout {
+			t.Fatalf("%d of %d workers have a lease of leader %d after %v", f.leasedWorkers(n), count, n, timeout)
 		}
 		time.Sleep(step)
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// idleWorker is a worker on which nothing runs.
+// idleWorker is a worker without runs.
 type idleWorker struct {
-	id    incarnation.ID
-	began time.Time
+	id        incarnation.ID
+	startedAt time.Time
 
 	mu    sync.Mutex
 	fence uint64
 }
 
-func (w *idleWorker) now() host.Clock { return host.Clock(time.Since(w.began)) }
+func (w *idleWorker) now() host.Clock { return host.Clock(time.Since(w.startedAt)) }
 
-// fenced returns the highest fence that the worker has seen.
-func (w *idleWorker) fenced() uint64 {
+// highestFence returns the highest fence that the worker has received.
+func (w *idleWorker) highestFence() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fence
--- a/internal/fleettest/network_test.go
+++ b/internal/fleettest/network_test.go
@@ -8,11 +8,11 @@
 	"syscall"
 )
 
-// network connects processes by their addresses; a dial to an address that nobody listens at is refused.
+// network connects processes by their addresses; a dial to an address without a listener is refused.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	// dials counts the attempts by address.
+	// dials counts the dials by address.
 	dials map[string]int
 }
 
@@ -38,10 +38,10 @@
 	if l == nil {
 		return nil, refused
 	}
-	near, far := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- remote:
+		return local, nil
 	case <-l.closed:
 		return nil, refused
 	case <-ctx.Done():
@@ -49,8 +49,8 @@
 	}
 }
 
-// dialed returns how often an address was dialed so far.
-func (n *network) dialed(address string) int {
+// dialCount returns how often an address has been dialed.
+func (n *network) dialCount(address string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dials[address]
--- a/internal/fleettest/scale_test.go
+++ b/internal/fleettest/scale_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// toFind is the time in which all agents have a lease of the first leader after the start, or of the next one after a loss, and toFindHalf that
-	// of half of them.
-	toFind     = 4 * time.Second
-	toFindHalf = 2 * time.Second
-	// leaseTime is how long the key of a lost leader stands in the store.
-	leaseTime = 1500 * time.Millisecond
-	plenty    = 4000
+	// maxDiscovery is the time within which all agents must get a lease of the first leader after the start, or of the next one after the
+	// loss of a leader; maxHalfDiscovery is that of half of them.
+	maxDiscovery     = 4 * time.Second
+	maxHalfDiscovery = 2 * time.Second
+	// leaseTTL is how long the key of a lost leader remains in the store.
+	leaseTTL       = 1500 * time.Millisecond
+	unlimitedPeers = 4000
 )
 
-// play runs a test with a fleet that ends with it.
-func play(t *testing.T, s size, test func(t *testing.T, f *fleet)) {
+// runFleet runs a test with a fleet, which is stopped at the end.
+func runFleet(t *testing.T, s size, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -36,82 +36,82 @@
 			}
 			time.Sleep(time.Minute)
 		}()
-		// The revisions of the platform's store begin above 0.
+		// The revisions of the platform's store start above 0.
 		assert.NilError(t, f.store.CommitAsOperator(kv.Txn{}))
 		test(t, f)
 	})
 }
 
-// TestCallsToTheStoreDoNotGrowWithTheAgents plays a calm fleet: 800 agents that were refused by their leader looked for another one by the store
-// eight times a second each, 2,600 calls a second of a calm day, until the store answered nobody.
+// TestCallsToTheStoreDoNotGrowWithTheAgents guards against a fault of an idle fleet: 800 agents refused by their leader searched the store for
+// another one eight times a second each, 2,600 calls a second in total, until the store stopped answering.
 func TestCallsToTheStoreDoNotGrowWithTheAgents(t *testing.T) {
-	const calm = 20 * time.Second
+	const period = 20 * time.Second
 	calls := func(agents int) (perSecond float64) {
-		play(t, size{agents: agents, entries: 40, peers: plenty}, func(t *testing.T, f *fleet) {
-			f.await(t, 1, agents, toFind)
+		runFleet(t, size{agents: agents, entries: 40, peers: unlimitedPeers}, func(t *testing.T, f *fleet) {
+			f.awaitLeases(t, 1, agents, maxDiscovery)
 			fromAgents, fromEntries := f.agentCalls(), f.entryCalls()
-			time.Sleep(calm)
+			time.Sleep(period)
 			assert.Equal(t, f.agentCalls()-fromAgents, 0)
-			perSecond = float64(f.entryCalls()-fromEntries) / calm.Seconds()
+			perSecond = float64(f.entryCalls()-fromEntries) / period.Seconds()
 		})
 		return perSecond
 	}
 	few, many := calls(100), calls(800)
 	t.Logf("%.1f calls a second with 100 agents, %.1f with 800", few, many)
 	assert.Assert(t, many <= few*1.1+1, "%.1f calls a second with 800 agents, %.1f with 100", many, few)
-	// 184 entries may make 150 calls a second, beside the jobs: that is 10,000 on a day of 67 s.
-	const most = 150.0 * 40 / 184
-	assert.Assert(t, many <= most, "%.1f calls a second by 40 entries", many)
+	// 184 entries may make 150 calls a second besides those for jobs: 10,000 on a day of 67 s.
+	const maxRate = 150.0 * 40 / 184
+	assert.Assert(t, many <= maxRate, "%.1f calls a second by 40 entries", many)
 }
 
-// TestChangeOfLeaderInALargeFleet plays what users saw when a leader was killed: agents looked for the next one until 17 s later, and the leases of
-// hundreds of workers ran out meanwhile.
-func TestChangeOfLeaderInALargeFleet(t *testing.T) {
-	s := size{agents: 1000, entries: 200, peers: plenty}
-	play(t, s, func(t *testing.T, f *fleet) {
-		t.Logf("all agents report %v after the start", f.await(t, 1, s.agents, toFind))
+// TestLeaderChangeInALargeFleet guards against a fault seen when a leader was killed: agents searched for the next one for up to 17 s,
+// while the leases of hundreds of workers expired.
+func TestLeaderChangeInALargeFleet(t *testing.T) {
+	s := size{agents: 1000, entries: 200, peers: unlimitedPeers}
+	runFleet(t, s, func(t *testing.T, f *fleet) {
+		t.Logf("all agents report %v after the start", f.awaitLeases(t, 1, s.agents, maxDiscovery))
 		time.Sleep(5 * time.Second)
-		lost := f.leader()
+		previous := f.leader()
 		before, entriesBefore := f.agentCalls(), f.entryCalls()
-		lost.end()
-		expire := time.AfterFunc(leaseTime, f.store.RemoveLeasedKeys)
-		half := f.await(t, 2, s.agents/2, toFindHalf)
+		previous.end()
+		expire := time.AfterFunc(leaseTTL, f.store.RemoveLeasedKeys)
+		half := f.awaitLeases(t, 2, s.agents/2, maxHalfDiscovery)
 		expire.Stop()
-		all := half + f.await(t, 2, s.agents, toFind-half)
+		all := half + f.awaitLeases(t, 2, s.agents, maxDiscovery-half)
 		t.Logf("half of the agents report to the next leader after %v, all after %v; %d calls to the store by agents, %d by entries",
 			half, all, f.agentCalls()-before, f.entryCalls()-entriesBefore)
 		assert.Equal(t, f.agentCalls()-before, 0)
 		next := f.leader()
-		assert.Assert(t, next != nil && next != lost)
+		assert.Assert(t, next != nil && next != previous)
 	})
 }
 
-// TestFleetOverTheLimitOfItsLeader plays a leader that takes fewer connections than there are agents: those that it holds are served, and the
-// refused ones return seldom.
-func TestFleetOverTheLimitOfItsLeader(t *testing.T) {
-	const limit, most = 300, 20 * time.Second
+// TestLeaderServesAgentsUpToItsLimit checks that a leader that accepts fewer connections than there are agents serves the accepted ones,
+// and that the refused ones reconnect rarely.
+func TestLeaderServesAgentsUpToItsLimit(t *testing.T) {
+	const limit, period = 300, 20 * time.Second
 	s := size{agents: 600, entries: 20, peers: limit}
-	play(t, s, func(t *testing.T, f *fleet) {
-		time.Sleep(toFind)
-		lead := f.leader()
-		served := f.held(1)
-		dials, calls := f.network.dialed(lead.address), f.agentCalls()
-		time.Sleep(most)
-		perSecond := float64(f.network.dialed(lead.address)-dials) / most.Seconds()
+	runFleet(t, s, func(t *testing.T, f *fleet) {
+		time.Sleep(maxDiscovery)
+		leader := f.leader()
+		served := f.leasedWorkers(1)
+		dials, calls := f.network.dialCount(leader.address), f.agentCalls()
+		time.Sleep(period)
+		perSecond := float64(f.network.dialCount(leader.address)-dials) / period.Seconds()
 		t.Logf("%d of %d agents are served, %.0f connections a second are tried", served, s.agents, perSecond)
-		assert.Assert(t, served >= limit/2 && f.held(1) >= served)
+		assert.Assert(t, served >= limit/2 && f.leasedWorkers(1) >= served)
 		refused := float64(s.agents - limit + s.entries)
 		assert.Assert(t, perSecond <= refused/2, "%.0f connections a second are tried by %.0f refused processes", perSecond, refused)
 		assert.Equal(t, f.agentCalls()-calls, 0)
 	})
 }
 
-// TestStoreThatRefusesForTheRateIsNotAway plays a store that answers 429 to some calls of each second: entries took that for an outage and refused
-// callers for three seconds.
-func TestStoreThatRefusesForTheRateIsNotAway(t *testing.T) {
-	s := size{agents: 50, entries: 40, peers: plenty}
-	play(t, s, func(t *testing.T, f *fleet) {
-		f.await(t, 1, s.agents, toFind)
+// TestRateLimitedStoreIsNotUnavailable guards against entries that take status 429 for an outage and refuse callers for three seconds; the
+// store answers 429 to some calls of each second.
+func TestRateLimitedStoreIsNotUnavailable(t *testing.T) {
+	s := size{agents: 50, entries: 40, peers: unlimitedPeers}
+	runFleet(t, s, func(t *testing.T, f *fleet) {
+		f.awaitLeases(t, 1, s.agents, maxDiscovery)
 		time.Sleep(5 * time.Second)
 		const rate, calls = 45, 200
 		f.store.setRate(rate)
--- a/internal/fleettest/store_test.go
+++ b/internal/fleettest/store_test.go
@@ -10,18 +10,18 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// answerTime is how long the store takes to answer.
-const answerTime = 4 * time.Millisecond
+// responseTime is the response time of the store.
+const responseTime = 4 * time.Millisecond
 
-// meteredStore is the store that all processes share: it counts their calls, and refuses those over a rate.
+// meteredStore is the store shared by all processes, which counts their calls and rejects those above a rate.
 type meteredStore struct {
 	*kvtest.Store
 
 	mu sync.Mutex
-	// rate is how many calls a second are answered, 0 for any number; left and window are those of the present second.
-	rate, left int
-	window     time.Time
-	refused    int
+	// rate is how many calls a second are answered, 0 for no limit; remaining are the calls left in the second that starts at window.
+	rate, remaining int
+	window          time.Time
+	refused         int
 }
 
 func newMeteredStore() *meteredStore { return &meteredStore{Store: kvtest.New()} }
@@ -29,17 +29,17 @@
 func (s *meteredStore) setRate(rate int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate, s.left, s.window = rate, rate, time.Now()
+	s.rate, s.remaining, s.window = rate, rate, time.Now()
 }
 
-// refusals returns how many calls were refused for their rate.
+// refusals returns how many calls were rejected by the rate limit.
 func (s *meteredStore) refusals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused
 }
 
-// admit counts a call against the rate.
+// admit counts a call against the rate limit.
 func (s *meteredStore) admit() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,48 +47,48 @@
 		return nil
 	}
 	if now := time.Now(); now.Sub(s.window) >= time.Second {
-		s.left, s.window = s.rate, now
+		s.remaining, s.window = s.rate, now
 	}
-	if s.left == 0 {
+	if s.remaining == 0 {
 		s.refused++
 		return fault.New(fault.Overloaded, "rate limited")
 	}
-	s.left--
+	s.remaining--
 	return nil
 }
 
-// client is the way of one process to the store.
+// client is the store as used by one process.
 type client struct {
 	*meteredStore
 	health *kv.Health
 
-	counted sync.Mutex
+	callsMu sync.Mutex
 	calls   int
 }
 
 // count returns how many calls the process has made.
 func (c *client) count() int {
-	c.counted.Lock()
-	defer c.counted.Unlock()
+	c.callsMu.Lock()
+	defer c.callsMu.Unlock()
 	return c.calls
 }
 
 // do makes one call.
 func (c *client) do(ctx context.Context, call func() error) error {
-	c.counted.Lock()
+	c.callsMu.Lock()
 	c.calls++
-	c.counted.Unlock()
-	asked := time.Now()
+	c.callsMu.Unlock()
+	sentAt := time.Now()
 	err := c.admit()
 	select {
 	case <-ctx.Done():
 		err = fault.New(fault.OutcomeUnknown, "no answer")
-	case <-time.After(answerTime):
+	case <-time.After(responseTime):
 	}
 	if err == nil {
 		err = call()
 	}
-	c.health.Record(asked, err)
+	c.health.Record(sentAt, err)
 	return err
 }
 
