--- a/internal/fleettest/scale_test.go
+++ b/internal/fleettest/scale_test.go
@@ -134,7 +134,7 @@
 				served++
 			}
 		}
-		t.Logf("%d of %d callers were served; %d calls were refused for the rate", served, calls, f.store.refusals())
+		t.Logf("%d of %d callers were served; %d calls were rate limited", served, calls, f.store.refusals())
 		assert.Assert(t, f.store.refusals() > 0)
 		assert.Assert(t, served >= calls*95/100, "%d of %d callers were served", served, calls)
 	})
--- a/internal/intake/leader.go
+++ b/internal/intake/leader.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxLeaderWait is how long a request for the leader waits for a leader of a later epoch than the requester knows.
+	// maxLeaderWait is how long a request for the leader waits for a leader of an epoch later than the given one.
 	maxLeaderWait = 500 * time.Millisecond
 	// leaderRetryAfter is the retry delay if there is no leader.
 	leaderRetryAfter = 200 * time.Millisecond
@@ -39,7 +39,7 @@
 			if hasLeader {
 				return p.newLeaderAnswer(value.Decoded), nil
 			}
-			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "this entry knows no leader").WithRetryAfter(leaderRetryAfter)
+			return link.LeaderAnswer{}, fault.New(fault.Unavailable, "no leader is known to this entry").WithRetryAfter(leaderRetryAfter)
 		}
 	}
 }
--- a/internal/intake/pinger.go
+++ b/internal/intake/pinger.go
@@ -38,7 +38,7 @@
 
 // Successor may take over leadership from a lost leader.
 type Successor interface {
-	// IsLeader reports whether this entry leads.
+	// IsLeader reports whether this entry is the leader.
 	IsLeader() bool
 	// SuspectLeader reports that the leader of an epoch may be replaced.
 	SuspectLeader(epoch uint64, reason string)
@@ -53,7 +53,7 @@
 	server    *Server
 	self      Self
 	successor Successor
-	// storeChanged wakes Run when the leader reports that the store became unreachable or reachable again.
+	// storeChanged signals Run when the leader reports that the store became unreachable or reachable again.
 	storeChanged chan struct{}
 	// sendValue is set if the leader lacks this entry's configuration, storeDown if the store answers neither the leader nor this
 	// entry.
@@ -243,7 +243,7 @@
 	}
 }
 
-// applyAnswer acts on the leader's knowledge of the store.
+// applyAnswer acts on what the answer states about the store.
 func (p *Pinger) applyAnswer(ctx context.Context, epoch uint64, answer link.PingAnswer) {
 	switch {
 	case answer.TakeOver:
--- a/internal/intake/pinger_test.go
+++ b/internal/intake/pinger_test.go
@@ -75,7 +75,7 @@
 
 func (s *fakeSuccessor) SetRank(int) {}
 
-// JobState implements LocalDispatcher for an entry that does not lead.
+// JobState implements LocalDispatcher for an entry that is not the leader.
 func (s *fakeSuccessor) JobState(job.ID) (job.State, bool) { return job.Queued, false }
 
 func (s *fakeSuccessor) TakeOver(epoch uint64) { s.SuspectLeader(epoch, "") }
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -37,7 +37,7 @@
 	Pool     *relay.Pool
 	Policies *Policies
 	Leader   *follow.Follower[record.Leader]
-	// Dispatcher provides the committed states of jobs while this entry leads.
+	// Dispatcher provides the committed states of jobs while this entry is the leader.
 	Dispatcher LocalDispatcher
 	Logger     logging.Logger
 	Metrics    *metric.Registry
@@ -45,7 +45,7 @@
 
 // LocalDispatcher is the dispatcher of this entry, which may be the leader.
 type LocalDispatcher interface {
-	// JobState returns the committed state of a job, false if this entry does not lead or does not know it.
+	// JobState returns the committed state of a job, false if this entry is not the leader or has no committed state.
 	JobState(id job.ID) (job.State, bool)
 }
 
@@ -195,7 +195,7 @@
 // stateTimeout bounds the request to the leader, which may wait for a commit; after it the store is read.
 const stateTimeout = 400 * time.Millisecond
 
-// stateFromLeader returns the state that the leader has committed, false if the leader does not know it or is not answering this entry.
+// stateFromLeader returns the state that the leader has committed, false if it has none or does not answer this entry.
 func (s *Server) stateFromLeader(ctx context.Context, id job.ID) (job.State, bool) {
 	if state, known := s.config.Dispatcher.JobState(id); known {
 		return state, true
--- a/internal/intake/state_test.go
+++ b/internal/intake/state_test.go
@@ -15,8 +15,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/record"
 )
 
-// TestStateIsReadFromTheLeader checks that the leader is asked first, since it knows the end of a job before it is committed, and that
-// the store is read if the leader does not know the state or does not answer.
+// TestStateIsReadFromTheLeader checks that the leader is asked first, which has the end of a job before the store does, and that
+// the store is read if the leader has no state of the job or does not answer.
 func TestStateIsReadFromTheLeader(t *testing.T) {
 	const id = job.ID("00000000000000aa")
 	routes := []policy.Route{{Host: "h", Prefix: "/q/"}}
@@ -45,5 +45,5 @@
 	e.leader.setJobState(link.JobStateAnswer{})
 	got, err = state()
 	assert.NilError(t, err)
-	assert.Equal(t, got, job.Queued, "the leader does not know the state")
+	assert.Equal(t, got, job.Queued, "the leader has no state of the job")
 }
--- a/internal/link/incarnation.go
+++ b/internal/link/incarnation.go
@@ -2,7 +2,7 @@
 
 import "github.com/saffronpulley/saffronpulley/internal/incarnation"
 
-// Incarnation returns the incarnation of the reported worker, zero while the agent knows of none.
+// Incarnation returns the incarnation of the reported worker, zero while it is unknown to the agent.
 func (r *Report) Incarnation() incarnation.ID { return incarnation.New(r.Instance, r.StartMillis) }
 
 // Incarnation returns the incarnation that has ended.
--- a/internal/link/messages.go
+++ b/internal/link/messages.go
@@ -87,7 +87,7 @@
 	VM    string `json:"vm"`
 	Hall  string `json:"hall"`
 	Epoch uint64 `json:"epoch"`
-	// Instance and StartMillis identify the incarnation of the worker; Instance is empty while the agent knows of none. StartMillis is 0
+	// Instance and StartMillis identify the incarnation of the worker; Instance is empty while it is unknown. StartMillis is 0
 	// for workers that do not report their start time, and for agents of the previous release.
 	Instance    string   `json:"instance,omitempty"`
 	StartMillis int64    `json:"born,omitempty"`
@@ -172,7 +172,7 @@
 	Deviation float64 `json:"d"`
 }
 
-// Profile holds what an agent needs to know of a run besides its identity.
+// Profile holds the properties of a run that an agent needs.
 type Profile struct {
 	Run
 	Image        string `json:"image,omitempty"`
@@ -205,7 +205,7 @@
 	Hall Hall `json:"hall"`
 }
 
-// Ping announces an entry, and the newest configuration that it knows, to the leader.
+// Ping announces an entry and its newest configuration to the leader.
 type Ping struct {
 	Entry   string `json:"entry"`
 	Address string `json:"address"`
@@ -238,7 +238,7 @@
 	Probe bool `json:"probe,omitempty"`
 	// Agents is how many agents report to the leader.
 	Agents int `json:"agents,omitempty"`
-	// StoreDown is set if the store answers neither the leader nor, as far as the leader knows, any entry. TakeOver asks the entry to
+	// StoreDown is set if the store answers neither the leader nor, by their latest pings, any entry. TakeOver asks the entry to
 	// take over leadership: the store answers the entry but not the leader, or the entry is far stronger.
 	StoreDown bool `json:"store_down,omitempty"`
 	TakeOver  bool `json:"succeed,omitempty"`
@@ -270,12 +270,12 @@
 	Count int `json:"count"`
 }
 
-// JobStateRequest asks for the state of a job; the answer waits until the leader has committed what it knows of the job.
+// JobStateRequest asks for the state of a job; the answer waits until the leader has committed the state.
 type JobStateRequest struct {
 	Job string `json:"job"`
 }
 
-// JobStateAnswer is the committed state of a job; Known is false if the leader does not know it.
+// JobStateAnswer is the committed state of a job; Known is false if the leader has none.
 type JobStateAnswer struct {
 	Known bool `json:"known,omitempty"`
 	State int  `json:"state"`
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,7 +32,7 @@
 	// maxEntryDelay bounds the random delay before an entry is called in place of a store that rate limited the call.
 	maxEntryDelay   = 30 * time.Millisecond
 	maxLimitedDelay = 500 * time.Millisecond
-	// callTimeout bounds all attempts at one call: two slow answers of the store, after which the caller is told when to retry.
+	// callTimeout bounds all attempts at one call: two slow answers of the store, after which the caller is asked to retry later.
 	callTimeout = 1500 * time.Millisecond
 	// downDuration is how long calls are refused at once after no path to the store gave an answer; then a single call tries again.
 	downDuration = 400 * time.Millisecond
