--- a/proving/cmd/bench/cells.go
+++ b/proving/cmd/bench/cells.go
@@ -67,14 +67,14 @@
 		return err
 	}
 	<-time.After(settleTime)
-	measure(s, n, "idle", func() {})
+	measurePhase(s, n, "idle", func() {})
 	// The churn's tasks end by themselves as soon as they have started.
 	for i := range n {
 		if _, err := s.Do("fault", "w"+strconv.Itoa(i+1), "set?runtime=300000"); err != nil {
 			return err
 		}
 	}
-	measure(s, n, "churn", func() { churn(s, n) })
+	measurePhase(s, n, "churn", func() { churn(s, n) })
 	return nil
 }
 
@@ -107,41 +107,41 @@
 	}
 }
 
-// measure watches all processes for a phase and writes a line for each role.
-func measure(s *stage.Stage, n int, phase string, during func()) {
+// measurePhase watches all processes for a phase and writes a line for each role.
+func measurePhase(s *stage.Stage, n int, phase string, during func()) {
 	processes := s.Processes()
-	cpu, bytes, calls := cpuTimes(processes), controlBytes(s, processes), storeCalls(s)
+	cpu, bytes, calls := cpuTimes(processes), controlByteCounts(s, processes), storeCallCounts(s)
 	began := time.Now()
 	during()
 	<-time.After(time.Until(began.Add(measureTime)))
 	seconds := time.Since(began).Seconds()
-	cpuAfter, bytesAfter, callsAfter := cpuTimes(processes), controlBytes(s, processes), storeCalls(s)
-	leads, document := leadsOf(s)
+	cpuAfter, bytesAfter, callsAfter := cpuTimes(processes), controlByteCounts(s, processes), storeCallCounts(s)
+	leaders, document := leadersOf(s)
 	for _, role := range []string{"entry", "lead", "agent"} {
-		var core, memory, moved float64
+		var cpuPercent, memory, byteRate float64
 		count := 0
 		for name, pid := range processes {
-			if roleOf(name, leads) != role {
+			if roleOf(name, leaders) != role {
 				continue
 			}
 			count++
-			core = max(core, (cpuAfter[name]-cpu[name]).Seconds()/seconds*100)
+			cpuPercent = max(cpuPercent, (cpuAfter[name]-cpu[name]).Seconds()/seconds*100)
 			memory = max(memory, residentMB(pid))
-			moved = max(moved, float64(bytesAfter[name]-bytes[name])/seconds)
+			byteRate = max(byteRate, float64(bytesAfter[name]-bytes[name])/seconds)
 		}
 		if count == 0 {
 			continue
 		}
-		fmt.Printf("| %d | %s | %s (most of %d) | %.2f | %.1f | %.0f | %.1f | %.1f | %d |\n", n, phase, role, count, core, memory,
-			moved, float64(callsAfter["reads"]-calls["reads"])/seconds, float64(callsAfter["writes"]-calls["writes"])/seconds, document)
+		fmt.Printf("| %d | %s | %s (most of %d) | %.2f | %.1f | %.0f | %.1f | %.1f | %d |\n", n, phase, role, count, cpuPercent, memory,
+			byteRate, float64(callsAfter["reads"]-calls["reads"])/seconds, float64(callsAfter["writes"]-calls["writes"])/seconds, document)
 	}
 }
 
-func roleOf(name string, leads map[string]bool) string {
+func roleOf(name string, leaders map[string]bool) string {
 	switch {
 	case strings.HasPrefix(name, "e"):
 		return "entry"
-	case leads[name]:
+	case leaders[name]:
 		return "lead"
 	case strings.HasPrefix(name, "a"):
 		return "agent"
@@ -150,15 +150,15 @@
 	}
 }
 
-func get(url string, value any) {
+func fetchJSON(url string, value any) {
 	status, body, err := fasthttp.GetTimeout(nil, url, 5*time.Second)
 	if err == nil && status == fasthttp.StatusOK {
 		_ = json.Unmarshal(body, value)
 	}
 }
 
-func controlBytes(s *stage.Stage, processes map[string]int) map[string]int64 {
-	moved := make(map[string]int64)
+func controlByteCounts(s *stage.Stage, processes map[string]int) map[string]int64 {
+	counts := make(map[string]int64)
 	for name := range processes {
 		if roleOf(name, nil) == "" {
 			continue
@@ -166,32 +166,32 @@
 		var metrics map[string]struct {
 			Value int64 `json:"value"`
 		}
-		get("http://"+s.Address(name, "admin")+"/metrics", &metrics)
-		moved[name] = metrics["control.bytes"].Value
+		fetchJSON("http://"+s.Address(name, "admin")+"/metrics", &metrics)
+		counts[name] = metrics["control.bytes"].Value
 	}
-	return moved
+	return counts
 }
 
-func storeCalls(s *stage.Stage) map[string]int64 {
+func storeCallCounts(s *stage.Stage) map[string]int64 {
 	calls := make(map[string]int64)
-	get("http://"+s.Address("store", "listening")+"/control/stats", &calls)
+	fetchJSON("http://"+s.Address("store", "listening")+"/control/stats", &calls)
 	return calls
 }
 
-// leadsOf returns the agents that lead, and the bytes of the largest document.
-func leadsOf(s *stage.Stage) (map[string]bool, int) {
+// leadersOf returns the agents that lead, and the bytes of the largest document.
+func leadersOf(s *stage.Stage) (map[string]bool, int) {
 	var region struct {
 		Cells []struct {
-			Lead  string `json:"lead"`
-			Bytes int    `json:"document_bytes"`
+			Leader string `json:"lead"`
+			Bytes  int    `json:"document_bytes"`
 		} `json:"cells"`
 	}
-	get("http://"+s.Address("e1", "admin")+"/v1/status", &region)
-	leads := make(map[string]bool)
+	fetchJSON("http://"+s.Address("e1", "admin")+"/v1/status", &region)
+	leaders := make(map[string]bool)
 	largest := 0
 	for _, cell := range region.Cells {
-		leads[cell.Lead] = true
+		leaders[cell.Leader] = true
 		largest = max(largest, cell.Bytes)
 	}
-	return leads, largest
+	return leaders, largest
 }
--- a/proving/cmd/bench/decisions.go
+++ b/proving/cmd/bench/decisions.go
@@ -25,18 +25,18 @@
 }
 
 func benchDay(day *decision.Day, seeds []uint64, only string) error {
-	columns := decision.Columns()
-	results := make([][]decision.Result, len(columns))
+	variants := decision.Variants()
+	results := make([][]decision.Result, len(variants))
 	var group errgroup.Group
 	group.SetLimit(8)
-	for c, column := range columns {
-		if only != "" && column.Name() != only {
+	for c, variant := range variants {
+		if only != "" && variant.Name() != only {
 			continue
 		}
 		results[c] = make([]decision.Result, len(seeds))
 		for s, seed := range seeds {
 			group.Go(func() error {
-				result, err := decision.Run(day, column, seed)
+				result, err := decision.Run(day, variant, seed)
 				results[c][s] = result
 				return err
 			})
@@ -45,11 +45,11 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	writeDay(day.Name, seeds, columns, results)
+	writeDay(day.Name, seeds, variants, results)
 	return nil
 }
 
-func writeDay(name string, seeds []uint64, columns []decision.Column, results [][]decision.Result) {
+func writeDay(name string, seeds []uint64, variants []decision.Variant, results [][]decision.Result) {
 	fmt.Printf("\n%s, seeds %v, median (least to most)\n\n", name, seeds)
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprint(writer, "| column\t")
@@ -61,7 +61,7 @@
 		fmt.Fprint(writer, "| ---\t")
 	}
 	fmt.Fprintln(writer, "|")
-	for c, column := range columns {
+	for c, column := range variants {
 		if results[c] == nil {
 			continue
 		}
--- a/proving/cmd/bench/lateness.go
+++ b/proving/cmd/bench/lateness.go
@@ -15,16 +15,16 @@
 	if err != nil {
 		return err
 	}
-	shares, err := lateness.Read(bytes.NewReader(log))
+	breakdowns, err := lateness.Read(bytes.NewReader(log))
 	if err != nil {
 		return err
 	}
 	const padding = 2
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, padding, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "queue\toutcome\tjobs\tobjective\ttook\twaiting\tagain\trunning\t")
-	for _, s := range shares {
+	for _, s := range breakdowns {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", s.Queue, s.Outcome, s.Jobs,
-			s.Objective.Seconds(), s.Took.Seconds(), s.Waiting.Seconds(), s.Again.Seconds(), s.Running.Seconds())
+			s.Objective.Seconds(), s.Elapsed.Seconds(), s.Waiting.Seconds(), s.Retrying.Seconds(), s.Running.Seconds())
 	}
 	return table.Flush()
 }
--- a/proving/cmd/bench/path.go
+++ b/proving/cmd/bench/path.go
@@ -20,8 +20,8 @@
 
 const (
 	pathConnections = 64
-	pathTime        = 5 * time.Second
-	pathPace        = 100 * time.Millisecond
+	pathDuration    = 5 * time.Second
+	pathInterval    = 100 * time.Millisecond
 	pathTable       = `workload,kind,team,processors,memory_mb,replicas,target_ms,concurrency,queue
 lookups,service,federacion,4,8000,1,1000,8,56
 `
@@ -38,7 +38,7 @@
 		return nil, "", err
 	}
 	s := stage.New(filepath.Dir(program), dir)
-	s.Direct()
+	s.DisableRelays()
 	return s, dir, nil
 }
 
@@ -87,19 +87,19 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nrequest path, %d connections, %s each, 64-byte bodies\n\n", pathConnections, pathTime)
+	fmt.Printf("\nrequest path, %d connections, %s each, 64-byte bodies\n\n", pathConnections, pathDuration)
 	fmt.Println("| what | requests/s | p50 us | p99 us | cores of entry | cores of agent |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	through := "http://" + s.Address("e1", "callers") + "/v1/services/lookups"
-	for _, pace := range []time.Duration{0, pathPace} {
+	for _, interval := range []time.Duration{0, pathInterval} {
 		load := "as fast as it goes"
-		if pace > 0 {
-			load = fmt.Sprintf("one request each %s", pace)
+		if interval > 0 {
+			load = fmt.Sprintf("one request each %s", interval)
 		}
-		timePath(s, "bare fasthttp echo, "+load, "http://"+echo+"/", pace)
-		timePath(s, "straight to the endpoint, "+load, "http://"+endpoint+"/", pace)
-		timePath(s, "through the agent alone, "+load, "http://"+s.Address("a1", "requests")+control.PathRequest, pace)
-		timePath(s, "through entry and agent, "+load, through, pace)
+		timePath(s, "bare fasthttp echo, "+load, "http://"+echo+"/", interval)
+		timePath(s, "straight to the endpoint, "+load, "http://"+endpoint+"/", interval)
+		timePath(s, "through the agent alone, "+load, "http://"+s.Address("a1", "requests")+control.PathRequest, interval)
+		timePath(s, "through entry and agent, "+load, through, interval)
 	}
 	return nil
 }
@@ -128,38 +128,40 @@
 }
 
 // timePath sends requests over a fixed number of connections, each as soon as the last was answered.
-func timePath(s *stage.Stage, name, url string, pace time.Duration) {
+func timePath(s *stage.Stage, name, url string, interval time.Duration) {
 	client := &fasthttp.Client{MaxConnsPerHost: pathConnections}
 	body := make([]byte, 64)
 	var mu sync.Mutex
 	total := hdrhistogram.New(1, 60_000_000, 3)
 	failed := 0
 	before := cpuTimes(s.Processes())
-	end := time.Now().Add(pathTime)
+	end := time.Now().Add(pathDuration)
 	var senders sync.WaitGroup
 	for i := range pathConnections {
 		senders.Go(func() {
 			// Paced senders take turns, else each round would be a burst.
-			<-time.After(pace * time.Duration(i) / pathConnections)
-			own, bad := sendUntil(client, url, body, end, pace)
+			<-time.After(interval * time.Duration(i) / pathConnections)
+			latencies, failures := sendUntil(client, url, body, end, interval)
 			mu.Lock()
 			defer mu.Unlock()
-			total.Merge(own)
-			failed += bad
+			total.Merge(latencies)
+			failed += failures
 		})
 	}
 	senders.Wait()
 	after := cpuTimes(s.Processes())
-	cores := func(process string) float64 { return (after[process] - before[process]).Seconds() / pathTime.Seconds() }
-	fmt.Printf("| %s | %.0f | %d | %d | %.2f | %.2f |\n", name, float64(total.TotalCount())/pathTime.Seconds(),
+	cores := func(process string) float64 {
+		return (after[process] - before[process]).Seconds() / pathDuration.Seconds()
+	}
+	fmt.Printf("| %s | %.0f | %d | %d | %.2f | %.2f |\n", name, float64(total.TotalCount())/pathDuration.Seconds(),
 		total.ValueAtQuantile(50), total.ValueAtQuantile(99), cores("e1"), cores("a1"))
 	if failed > 0 {
 		fmt.Printf("| %s: %d requests failed | | | | | |\n", name, failed)
 	}
 }
 
-func sendUntil(client *fasthttp.Client, url string, body []byte, end time.Time, pace time.Duration) (*hdrhistogram.Histogram, int) {
-	own := hdrhistogram.New(1, 60_000_000, 3)
+func sendUntil(client *fasthttp.Client, url string, body []byte, end time.Time, interval time.Duration) (*hdrhistogram.Histogram, int) {
+	latencies := hdrhistogram.New(1, 60_000_000, 3)
 	failed := 0
 	digest := gate.Digest(body)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -180,10 +182,10 @@
 			failed++
 			continue
 		}
-		_ = own.RecordValue(max(time.Since(began).Microseconds(), 1))
-		if pace > 0 {
-			<-time.After(time.Until(began.Add(pace)))
+		_ = latencies.RecordValue(max(time.Since(began).Microseconds(), 1))
+		if interval > 0 {
+			<-time.After(time.Until(began.Add(interval)))
 		}
 	}
-	return own, failed
+	return latencies, failed
 }
--- a/proving/cmd/demo/main.go
+++ b/proving/cmd/demo/main.go
@@ -36,7 +36,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "demo.txtar"), script, 0o600); err != nil {
 		return err
 	}
-	p := &player{ended: make(chan struct{})}
+	p := &scriptRunner{ended: make(chan struct{})}
 	go func() {
 		defer close(p.ended)
 		testscript.RunT(p, stage.Params(dir, filepath.Dir(program)))
@@ -45,53 +45,53 @@
 	if p.failed {
 		return fmt.Errorf("a step failed")
 	}
-	if err := onPlatform(filepath.Dir(program)); err != nil {
+	if err := runOnPlatform(filepath.Dir(program)); err != nil {
 		return err
 	}
 	fmt.Println("demo: all steps went well")
 	return nil
 }
 
-// player plays a script outside a test.
-type player struct {
+// scriptRunner plays a script outside a test.
+type scriptRunner struct {
 	ended  chan struct{}
 	failed bool
 }
 
 // Skip implements testscript.T.
-func (p *player) Skip(args ...any) {
+func (p *scriptRunner) Skip(args ...any) {
 	p.failed = true
 	fmt.Println(args...)
 	runtime.Goexit()
 }
 
 // Fatal implements testscript.T.
-func (p *player) Fatal(args ...any) {
+func (p *scriptRunner) Fatal(args ...any) {
 	p.Log(args...)
 	p.FailNow()
 }
 
 // Parallel implements testscript.T.
-func (p *player) Parallel() {}
+func (p *scriptRunner) Parallel() {}
 
 // Log implements testscript.T.
-func (p *player) Log(args ...any) { fmt.Println(args...) }
+func (p *scriptRunner) Log(args ...any) { fmt.Println(args...) }
 
 // FailNow implements testscript.T.
-func (p *player) FailNow() {
+func (p *scriptRunner) FailNow() {
 	p.failed = true
 	runtime.Goexit()
 }
 
 // Run implements testscript.T.
-func (p *player) Run(_ string, play func(testscript.T)) {
+func (p *scriptRunner) Run(_ string, script func(testscript.T)) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		play(p)
+		script(p)
 	}()
 	<-done
 }
 
 // Verbose implements testscript.T.
-func (p *player) Verbose() bool { return true }
+func (p *scriptRunner) Verbose() bool { return true }
--- a/proving/cmd/demo/platform.go
+++ b/proving/cmd/demo/platform.go
@@ -7,8 +7,8 @@
 	"github.com/saffronpulley/saffronpulley/proving/fleet"
 )
 
-// onPlatform shows jobs on the users' platform: entries and agents as processes, beside stand-ins of store and workers.
-func onPlatform(binaries string) error {
+// runOnPlatform shows jobs on the users' platform: entries and agents as processes, beside stand-ins of store and workers.
+func runOnPlatform(binaries string) error {
 	dir, err := os.MkdirTemp("", "demo-platform")
 	if err != nil {
 		return err
--- a/proving/cmd/docs/main.go
+++ b/proving/cmd/docs/main.go
@@ -30,11 +30,11 @@
 	return map[string]string{"TABLE.md": tablePage(), "SETTINGS.md": settingsPage(), "ERRORS.md": errorsPage()}
 }
 
-const generated = "<!-- Written by `make docs`; edit the code instead. -->\n\n"
+const generatedNote = "<!-- Written by `make docs`; edit the code instead. -->\n\n"
 
 func tablePage() string {
 	var out strings.Builder
-	out.WriteString("# The table\n\n" + generated)
+	out.WriteString("# The table\n\n" + generatedNote)
 	out.WriteString("One row a workload or a team, one column a knob, in CSV. The first line names the columns, in any order;\n" +
 		"a column left out has its default. A cell that does not apply to the row's kind stays empty.\n\n")
 	out.WriteString("| column | rows | unit | allowed | default | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
@@ -43,47 +43,47 @@
 		for _, k := range c.Kinds() {
 			kinds = append(kinds, k.String())
 		}
-		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | %s |\n", c.Name(), strings.Join(kinds, ", "), or(c.Unit(), "-"),
-			c.Allowed(), or(c.Default(), "must be given"), c.Description())
+		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | %s |\n", c.Name(), strings.Join(kinds, ", "), orDefault(c.Unit(), "-"),
+			c.Allowed(), orDefault(c.Default(), "must be given"), c.Description())
 	}
 	return out.String()
 }
 
 func settingsPage() string {
 	var out strings.Builder
-	out.WriteString("# Settings\n\n" + generated)
+	out.WriteString("# Settings\n\n" + generatedNote)
 	out.WriteString("A daemon reads one YAML file. The environment goes over the file, and `--set key=value` over both.\n" +
 		"`saffronpulleyd check FILE` names all problems at once, each with its file and line, and starts nothing.\n\n")
 	out.WriteString("| setting | roles | allowed | default | what it does | environment |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range settings.List() {
-		fallback := or(s.Default(), "must be given")
+		defaultText := orDefault(s.Default(), "must be given")
 		if s.IsOptional() {
-			fallback = "may be left out"
+			defaultText = "may be left out"
 		}
-		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | `%s` |\n", s.Key(), or(s.Roles(), "all"), s.Allowed(), fallback, s.Description(), s.Environment())
+		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s | `%s` |\n", s.Key(), orDefault(s.Roles(), "all"), s.Allowed(), defaultText, s.Description(), s.Environment())
 	}
 	return out.String()
 }
 
 func errorsPage() string {
 	var out strings.Builder
-	out.WriteString("# Error kinds\n\n" + generated)
+	out.WriteString("# Error kinds\n\n" + generatedNote)
 	out.WriteString("Each error has one of these kinds, over HTTP, between processes and as the exit code of a command.\n" +
 		"`ran` says what is known of the work: `no` means that it did not run and will not; `unknown` that it may have.\n\n")
 	out.WriteString("| kind | HTTP status | exit code | ran | tells when to return |\n| --- | --- | --- | --- | --- |\n")
 	for k := fault.Internal; k <= fault.Unauthorized; k++ {
-		returns := "no"
+		hasRetryAfter := "no"
 		if k.Answer().HasRetryAfter() {
-			returns = "yes"
+			hasRetryAfter = "yes"
 		}
-		fmt.Fprintf(&out, "| `%s` | %d | %d | %s | %s |\n", k, k.Answer().Status(), k.Answer().ExitCode(), k.Answer().Ran(), returns)
+		fmt.Fprintf(&out, "| `%s` | %d | %d | %s | %s |\n", k, k.Answer().Status(), k.Answer().ExitCode(), k.Answer().Ran(), hasRetryAfter)
 	}
 	return out.String()
 }
 
-func or(text, otherwise string) string {
+func orDefault(text, fallback string) string {
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	return text
 }
--- a/proving/cmd/docs/main_test.go
+++ b/proving/cmd/docs/main_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPagesAreThoseOfTheCode(t *testing.T) {
+func TestPagesAreUpToDate(t *testing.T) {
 	for name, want := range pages() {
 		got, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", name))
 		assert.NilError(t, err)
--- a/proving/cmd/mutants/main.go
+++ b/proving/cmd/mutants/main.go
@@ -13,7 +13,7 @@
 )
 
 //go:embed mutants.yaml
-var list []byte
+var mutantList []byte
 
 // mutant is a guard that is turned off, and the test that must notice.
 type mutant struct {
@@ -36,7 +36,7 @@
 
 func run(only string) error {
 	var mutants []mutant
-	if err := yaml.UnmarshalWithOptions(list, &mutants, yaml.Strict()); err != nil {
+	if err := yaml.UnmarshalWithOptions(mutantList, &mutants, yaml.Strict()); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "mutants")
@@ -47,43 +47,43 @@
 	if out, err := exec.Command("sh", "-c", "git ls-files -z --cached --others --exclude-standard | xargs -0 cp --parents -t "+dir).CombinedOutput(); err != nil {
 		return fmt.Errorf("cannot copy the repository: %w: %s", err, out)
 	}
-	alive := 0
+	survivors := 0
 	for _, m := range mutants {
 		if !strings.Contains(m.Name, only) {
 			continue
 		}
-		killed, err := try(dir, m)
+		killed, err := runMutant(dir, m)
 		if err != nil {
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
-		verdict := "red, as it must be"
+		result := "red, as it must be"
 		if !killed {
-			verdict = "STILL GREEN"
-			alive++
+			result = "STILL GREEN"
+			survivors++
 		}
-		fmt.Printf("%-50s %s\n", m.Name, verdict)
+		fmt.Printf("%-50s %s\n", m.Name, result)
 	}
-	if alive > 0 {
-		return fmt.Errorf("%d guards can be turned off unnoticed", alive)
+	if survivors > 0 {
+		return fmt.Errorf("%d guards can be turned off unnoticed", survivors)
 	}
 	return nil
 }
 
-// try changes the file, runs the test, and puts the file back.
-func try(dir string, m mutant) (bool, error) {
+// runMutant changes the file, runs the test, and puts the file back.
+func runMutant(dir string, m mutant) (bool, error) {
 	file := filepath.Join(dir, m.File)
-	before, err := os.ReadFile(file)
+	original, err := os.ReadFile(file)
 	if err != nil {
 		return false, err
 	}
-	if strings.Count(string(before), m.From) != 1 {
+	if strings.Count(string(original), m.From) != 1 {
 		return false, fmt.Errorf("the guard is not there, or not once")
 	}
-	after := strings.Replace(string(before), m.From, m.To, 1)
-	if err := os.WriteFile(file, []byte(after), 0o600); err != nil {
+	mutated := strings.Replace(string(original), m.From, m.To, 1)
+	if err := os.WriteFile(file, []byte(mutated), 0o600); err != nil {
 		return false, err
 	}
-	defer func() { _ = os.WriteFile(file, before, 0o600) }()
+	defer func() { _ = os.WriteFile(file, original, 0o600) }()
 	build := exec.Command("go", "build", "./...")
 	build.Dir = dir
 	if out, err := build.CombinedOutput(); err != nil {
--- a/proving/cmd/soak/main.go
+++ b/proving/cmd/soak/main.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	workers = 11
-	entries = 3
-	failure = 4 * time.Second
-	rows    = `workload,kind,team,processors,memory_mb,replicas,target_ms,runtime_s,evictions,concurrency,attempts
+	workers       = 11
+	entries       = 3
+	faultInterval = 4 * time.Second
+	tableRows     = `workload,kind,team,processors,memory_mb,replicas,target_ms,runtime_s,evictions,concurrency,attempts
 lookups,service,federacion,4,8000,11,100,,,8,
 mailing,batch,federacion,4,4000,,,3,100,100,100
 settlement,batch,reembolsos,3,4000,,,5,100,100,100
@@ -28,9 +28,9 @@
 
 func main() {
 	app := kingpin.New("soak", "Runs real processes under failures.")
-	own := app.Command("own", "The product's own interface, at today's sizes.")
-	length := own.Flag("for", "How long.").Default("5m").Duration()
-	seed := own.Flag("seed", "Seed of the failures.").Default("1").Uint64()
+	ownInterface := app.Command("own", "The product's own interface, at today's sizes.")
+	length := ownInterface.Flag("for", "How long.").Default("5m").Duration()
+	seed := ownInterface.Flag("seed", "Seed of the failures.").Default("1").Uint64()
 	onPlatform := app.Command("platform", "The users' platform, seed after seed.").Default()
 	var p platformSoak
 	onPlatform.Flag("first", "First seed.").Default("1").Uint64Var(&p.first)
@@ -39,12 +39,12 @@
 	onPlatform.Flag("entries", "How many entries.").Default("3").IntVar(&p.entries)
 	onPlatform.Flag("agents", "How many agents with their workers.").Default("6").IntVar(&p.agents)
 	onPlatform.Flag("crashes", "Let some jobs crash the workers that start them.").Default("true").BoolVar(&p.crashes)
-	onPlatform.Flag("returns", "Let workers start again under ids that they had.").Default("true").BoolVar(&p.returns)
-	onPlatform.Flag("rates", "Let the store refuse calls for their rate now and then.").Default("false").BoolVar(&p.rates)
-	onPlatform.Flag("keep", "Where the logs of seeds that fail are kept.").Default("out/soak").StringVar(&p.keep)
+	onPlatform.Flag("returns", "Let workers start again under ids that they had.").Default("true").BoolVar(&p.reuseIDs)
+	onPlatform.Flag("rates", "Let the store refuse calls for their rate now and then.").Default("false").BoolVar(&p.limitRates)
+	onPlatform.Flag("keep", "Where the logs of seeds that fail are kept.").Default("out/soak").StringVar(&p.logDir)
 	run := p.run
-	if kingpin.MustParse(app.Parse(os.Args[1:])) == own.FullCommand() {
-		run = func() error { return soak(*length, *seed) }
+	if kingpin.MustParse(app.Parse(os.Args[1:])) == ownInterface.FullCommand() {
+		run = func() error { return soakOwnInterface(*length, *seed) }
 	}
 	if err := run(); err != nil {
 		fmt.Fprintf(os.Stderr, "soak: %v\n", err)
@@ -59,7 +59,7 @@
 	jobs   []string
 }
 
-func soak(length time.Duration, seed uint64) error {
+func soakOwnInterface(length time.Duration, seed uint64) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
@@ -74,10 +74,10 @@
 		return err
 	}
 	before := s.sizes()
-	if err := s.play(length); err != nil {
+	if err := s.injectFaults(length); err != nil {
 		return err
 	}
-	return s.finish(before)
+	return s.awaitAndCheck(before)
 }
 
 func (s *soaker) do(verb string, args ...string) error {
@@ -99,7 +99,7 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	request.SetRequestURI(url)
 	request.Header.SetMethod(fasthttp.MethodPost)
-	request.SetBodyString(rows)
+	request.SetBodyString(tableRows)
 	if err := fasthttp.Do(request, response); err != nil || response.StatusCode() != fasthttp.StatusOK {
 		return fmt.Errorf("the table is refused: %s %w", response.Body(), err)
 	}
@@ -112,24 +112,24 @@
 	return s.do("load", "once", "lookups", "e3", "e1", "e2", "rate=100")
 }
 
-// play makes something fail every few seconds, and posts a job now and then.
-func (s *soaker) play(length time.Duration) error {
+// injectFaults makes something fail every few seconds, and posts a job now and then.
+func (s *soaker) injectFaults(length time.Duration) error {
 	end := time.Now().Add(length)
 	for round := 0; time.Now().Before(end); round++ {
 		began := time.Now()
 		if round%3 == 0 {
-			s.post(round)
+			s.submitJob(round)
 		}
-		if err := s.fail(); err != nil {
+		if err := s.injectFault(); err != nil {
 			return err
 		}
-		<-time.After(time.Until(began.Add(failure)))
+		<-time.After(time.Until(began.Add(faultInterval)))
 	}
 	return nil
 }
 
-// post posts a job; one that is refused for now is not counted.
-func (s *soaker) post(round int) {
+// submitJob posts a job; one that is refused for now is not counted.
+func (s *soaker) submitJob(round int) {
 	name := "job-" + strconv.Itoa(round)
 	workload := []string{"mailing", "settlement"}[s.random.IntN(2)]
 	for _, entry := range []string{"e1", "e2", "e3"} {
@@ -140,33 +140,33 @@
 	}
 }
 
-func (s *soaker) fail() error {
+func (s *soaker) injectFault() error {
 	agent := "a" + strconv.Itoa(1+s.random.IntN(workers))
 	entry := "e" + strconv.Itoa(1+s.random.IntN(entries))
 	vm := "vm-" + agent[1:]
 	switch s.random.IntN(9) {
 	case 0:
-		return s.all([]string{"crash", agent}, []string{"start", agent})
+		return s.doAll([]string{"crash", agent}, []string{"start", agent})
 	case 1:
-		return s.all([]string{"term", agent}, []string{"start", agent})
+		return s.doAll([]string{"term", agent}, []string{"start", agent})
 	case 2:
-		return s.all([]string{"term", entry}, []string{"start", entry})
+		return s.doAll([]string{"term", entry}, []string{"start", entry})
 	case 3:
-		return s.all([]string{"freeze", agent}, []string{"pause", "3s"}, []string{"thaw", agent})
+		return s.doAll([]string{"freeze", agent}, []string{"pause", "3s"}, []string{"thaw", agent})
 	case 4:
-		return s.all([]string{"fault", "store", "down"}, []string{"pause", "3s"}, []string{"fault", "store", "up"})
+		return s.doAll([]string{"fault", "store", "down"}, []string{"pause", "3s"}, []string{"fault", "store", "up"})
 	case 5:
-		return s.all([]string{"fault", "store", "lose?answers=2"})
+		return s.doAll([]string{"fault", "store", "lose?answers=2"})
 	case 6:
-		return s.all([]string{"list", vm, "leaving"}, []string{"pause", "2s"}, []string{"list", vm, "live"})
+		return s.doAll([]string{"list", vm, "leaving"}, []string{"pause", "2s"}, []string{"list", vm, "live"})
 	case 7:
-		return s.all([]string{"crash", entry}, []string{"start", entry})
+		return s.doAll([]string{"crash", entry}, []string{"start", entry})
 	default:
-		return s.all([]string{"freeze", entry}, []string{"pause", "1s"}, []string{"thaw", entry})
+		return s.doAll([]string{"freeze", entry}, []string{"pause", "1s"}, []string{"thaw", entry})
 	}
 }
 
-func (s *soaker) all(steps ...[]string) error {
+func (s *soaker) doAll(steps ...[]string) error {
 	for _, step := range steps {
 		if err := s.do(step[0], step[1:]...); err != nil {
 			return err
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// finish lets everything end, and judges.
-func (s *soaker) finish(before map[string]size) error {
+// awaitAndCheck lets everything end, and judges.
+func (s *soaker) awaitAndCheck(before map[string]processSize) error {
 	if err := s.do("await", "ready", strconv.Itoa(workers), "within=60s"); err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 			lost++
 		}
 	}
-	if err := s.all([]string{"unload", "repeatable"}, []string{"unload", "once"}, []string{"books"}); err != nil {
+	if err := s.doAll([]string{"unload", "repeatable"}, []string{"unload", "once"}, []string{"books"}); err != nil {
 		return err
 	}
 	fmt.Printf("jobs posted %d of 20 tasks each, not ended %d\n", len(s.jobs), lost)
@@ -203,14 +203,14 @@
 	return nil
 }
 
-// size is how large a process is.
-type size struct {
+// processSize is how large a process is.
+type processSize struct {
 	goroutines, heap int64
 	descriptors      int
 }
 
-func (s *soaker) sizes() map[string]size {
-	sizes := make(map[string]size)
+func (s *soaker) sizes() map[string]processSize {
+	sizes := make(map[string]processSize)
 	for name, pid := range s.stage.Processes() {
 		if name[0] != 'a' && name[0] != 'e' {
 			continue
@@ -222,9 +222,9 @@
 		if err == nil && status == fasthttp.StatusOK {
 			_ = json.Unmarshal(body, &metrics)
 		}
-		open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-		sizes[name] = size{
-			goroutines: metrics["process.goroutines"].Value, heap: metrics["process.heap_bytes"].Value, descriptors: len(open),
+		descriptors, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+		sizes[name] = processSize{
+			goroutines: metrics["process.goroutines"].Value, heap: metrics["process.heap_bytes"].Value, descriptors: len(descriptors),
 		}
 	}
 	return sizes
--- a/proving/cmd/soak/platform.go
+++ b/proving/cmd/soak/platform.go
@@ -18,9 +18,9 @@
 	length          time.Duration
 	entries, agents int
 	crashes         bool
-	returns         bool
-	rates           bool
-	keep            string
+	reuseIDs        bool
+	limitRates      bool
+	logDir          string
 }
 
 func (p *platformSoak) run() error {
@@ -30,20 +30,20 @@
 	}
 	failed := 0
 	for seed := p.first; seed < p.first+p.seeds; seed++ {
-		if err := p.play(seed, filepath.Dir(program)); err != nil {
+		if err := p.runSeed(seed, filepath.Dir(program)); err != nil {
 			failed++
 			fmt.Printf("seed %d failed: %v\n", seed, err)
 		}
 	}
 	fmt.Printf("%d seeds from %d on, %d failed\n", p.seeds, p.first, failed)
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds failed; their logs are under %s", failed, p.seeds, p.keep)
+		return fmt.Errorf("%d of %d seeds failed; their logs are under %s", failed, p.seeds, p.logDir)
 	}
 	return nil
 }
 
-func (p *platformSoak) play(seed uint64, binaries string) error {
-	dir := filepath.Join(p.keep, fmt.Sprintf("seed-%d", seed))
+func (p *platformSoak) runSeed(seed uint64, binaries string) error {
+	dir := filepath.Join(p.logDir, fmt.Sprintf("seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -57,14 +57,14 @@
 		return err
 	}
 	defer f.Close()
-	say := func(format string, args ...any) {
+	logf := func(format string, args ...any) {
 		fmt.Fprintf(faults, "%s "+format+"\n", append([]any{time.Now().UTC().Format(time.RFC3339Nano)}, args...)...)
 	}
-	err = f.Play(fleet.Soak{Seed: seed, Length: p.length, JobEvery: jobEvery, Crashes: p.crashes, Returns: p.returns, Rates: p.rates, Say: say})
-	rightly, wrongly := f.Books().GivenUp()
+	err = f.RunSoak(fleet.Soak{Seed: seed, Duration: p.length, JobInterval: jobEvery, Crashes: p.crashes, ReuseIDs: p.reuseIDs, LimitRates: p.limitRates, Logf: logf})
+	crashing, others := f.Checker().GivenUp()
 	fmt.Printf("seed %d: %s; %d workers crashed by tasks, %d jobs given up that do so, %d others\n",
-		seed, f.Books().Counts(), f.Books().Crashes(), rightly, wrongly)
-	fmt.Printf("seed %d: %s\n", seed, f.Books().Contacts())
+		seed, f.Checker().Counts(), f.Checker().CrashCount(), crashing, others)
+	fmt.Printf("seed %d: %s\n", seed, f.Checker().FirstCalls())
 	if err == nil {
 		return os.RemoveAll(dir)
 	}
--- a/proving/decision/batch.go
+++ b/proving/decision/batch.go
@@ -14,17 +14,17 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// restore is the work that a resumed task does over, in seconds.
-const restore = 3.0
+// restoreSeconds is the work that a resumed task does over, in seconds.
+const restoreSeconds = 3.0
 
-// lateReport is a usage report or a latency that has not arrived yet.
-type lateReport struct {
-	arrives time.Duration
-	take    func()
+// delayedReport is a usage report or a latency that has not arrived yet.
+type delayedReport struct {
+	arrivesAt time.Duration
+	apply     func()
 }
 
 func (s *sim) submit(second int) {
-	if s.column.noBatch {
+	if s.variant.noBatch {
 		return
 	}
 	for _, j := range s.day.Jobs {
@@ -52,7 +52,7 @@
 
 func (s *sim) loseWorkers(second int) {
 	for _, w := range s.workers {
-		if w.lost || !happens(s.day.Lost, w.number, second) {
+		if w.lost || !isAffected(s.day.Lost, w.number, second) {
 			continue
 		}
 		w.lost = true
@@ -90,9 +90,9 @@
 			s.reportUsage(w, second)
 		}
 		s.killForMemory(w)
-		for _, run := range w.ordered() {
+		for _, run := range w.sortedRuns() {
 			r := w.runs[run]
-			if happens(s.day.Failing, w.number, second) {
+			if isAffected(s.day.Failing, w.number, second) {
 				s.endRun(w, run, task.Failed)
 				continue
 			}
@@ -106,8 +106,8 @@
 	}
 }
 
-// ordered returns the runs of the worker in a fixed order, so that a seed gives the same day each time.
-func (w *fakeWorker) ordered() []task.Run {
+// sortedRuns returns the runs of the worker in a fixed order, so that a seed gives the same day each time.
+func (w *fakeWorker) sortedRuns() []task.Run {
 	return slices.SortedFunc(maps.Keys(w.runs), func(a, b task.Run) int {
 		return cmp.Or(strings.Compare(a.ID().Job(), b.ID().Job()), cmp.Compare(a.ID().Index(), b.ID().Index()))
 	})
@@ -117,16 +117,16 @@
 func (s *sim) killForMemory(w *fakeWorker) {
 	used := float64(s.day.Service.Memory)
 	for _, r := range w.runs {
-		used += float64(r.load.Memory) * r.load.Takes
+		used += float64(r.load.Memory) * r.load.MemoryFactor
 	}
-	runs := w.ordered()
+	runs := w.sortedRuns()
 	slices.SortStableFunc(runs, func(a, b task.Run) int { return cmp.Compare(w.runs[b].started, w.runs[a].started) })
 	for _, run := range runs {
 		if used <= float64(s.day.Memory) {
 			return
 		}
 		r := w.runs[run]
-		used -= float64(r.load.Memory) * r.load.Takes
+		used -= float64(r.load.Memory) * r.load.MemoryFactor
 		s.result.workLost += r.progress * float64(r.load.RuntimeS)
 		s.endRun(w, run, task.Failed)
 	}
@@ -136,7 +136,7 @@
 func (w *fakeWorker) contention(s *sim) float64 {
 	used := 0.0
 	for _, r := range w.runs {
-		used += float64(r.load.Processors) * r.load.Uses * float64(s.throttle(w, r)) / 100
+		used += float64(r.load.Processors) * r.load.CPUFactor * float64(s.throttle(w, r)) / 100
 	}
 	if w.replica != nil {
 		used += float64(s.day.Service.Processors)
@@ -154,7 +154,7 @@
 		used = used.Add(resource.New(s.day.Service.Processors*1000, s.day.Service.Memory, 0))
 	}
 	if !used.Fits(s.capacityOf(w)) {
-		s.result.broken++
+		s.result.overcommitted++
 	}
 }
 
@@ -170,12 +170,12 @@
 func (s *sim) endRun(w *fakeWorker, run task.Run, state task.State) {
 	r := w.runs[run]
 	delete(w.runs, run)
-	before, _ := s.document.Task(run.ID())
+	previous, _ := s.document.Task(run.ID())
 	checkpoint := ""
 	if state == task.Checkpointed {
 		checkpoint = strconv.FormatFloat(r.progress, 'f', 6, 64)
 		s.result.evictions++
-		s.result.workLost += restore
+		s.result.workLost += restoreSeconds
 	}
 	if !s.document.Report(cell.NewReport(run, state, checkpoint), 5) {
 		return
@@ -186,8 +186,8 @@
 		workerProbation.Succeed(&w.health)
 	case task.Failed:
 		s.result.failures++
-		s.before[run.ID()] = s.clock().Add(time.Second)
-		if before.Failures() == 0 {
+		s.notBefore[run.ID()] = s.clock().Add(time.Second)
+		if previous.Failures() == 0 {
 			workerProbation.Fail(&w.health, s.clock())
 		}
 	}
@@ -204,25 +204,25 @@
 
 // reportUsage sends the usage of a worker's runs on its late way.
 func (s *sim) reportUsage(w *fakeWorker, second int) {
-	for _, run := range w.ordered() {
+	for _, run := range w.sortedRuns() {
 		r := w.runs[run]
-		use := r.load.Uses * (0.9 + 0.2*s.random.Float64())
-		used := resource.New(int64(float64(r.load.Processors)*1000*use), int64(float64(r.load.Memory)*r.load.Takes), 0)
+		use := r.load.CPUFactor * (0.9 + 0.2*s.random.Float64())
+		used := resource.New(int64(float64(r.load.Processors)*1000*use), int64(float64(r.load.Memory)*r.load.MemoryFactor), 0)
 		workload := r.load.Name
-		s.reports = append(s.reports, lateReport{
-			arrives: s.now + s.day.lag(second), take: func() { s.estimate(workload).Observe(used) },
+		s.reports = append(s.reports, delayedReport{
+			arrivesAt: s.now + s.day.lag(second), apply: func() { s.estimate(workload).Observe(used) },
 		})
 	}
 }
 
-func (s *sim) takeReports() {
-	kept := s.reports[:0]
+func (s *sim) applyReports() {
+	pending := s.reports[:0]
 	for _, r := range s.reports {
-		if r.arrives <= s.now {
-			r.take()
+		if r.arrivesAt <= s.now {
+			r.apply()
 			continue
 		}
-		kept = append(kept, r)
+		pending = append(pending, r)
 	}
-	s.reports = kept
+	s.reports = pending
 }
--- a/proving/decision/day.go
+++ b/proving/decision/day.go
@@ -31,8 +31,8 @@
 	Lost         []WorkerEvent   `yaml:"lost"`
 	Failing      []WorkerEvent   `yaml:"failing"`
 	Cancel       []CancelBurst   `yaml:"cancel"`
-	Late         []LateReports   `yaml:"late_reports"`
-	Noise        []NoisyInterval `yaml:"noise"`
+	ReportDelays []ReportDelay   `yaml:"late_reports"`
+	Noise        []NoiseInterval `yaml:"noise"`
 }
 
 // ServiceLoad is the service of a day.
@@ -62,9 +62,9 @@
 	Evictions    int        `yaml:"evictions"`
 	DeadlineM    int        `yaml:"deadline_min"`
 	Urgent       bool       `yaml:"urgent"`
-	Uses         float64    `yaml:"really_uses"`
-	Takes        float64    `yaml:"really_takes"`
-	Harm         [4]float64 `yaml:"harm_by_band"`
+	CPUFactor    float64    `yaml:"really_uses"`
+	MemoryFactor float64    `yaml:"really_takes"`
+	Interference [4]float64 `yaml:"harm_by_band"`
 }
 
 // JobLoad is a job that is submitted at a second of the day; every and until repeat it.
@@ -90,19 +90,19 @@
 	Jobs     int    `yaml:"jobs"`
 }
 
-// LateReports is a time in which usage reports lag more.
-type LateReports struct {
+// ReportDelay is a time in which usage reports lag more.
+type ReportDelay struct {
 	From int `yaml:"from"`
 	To   int `yaml:"to"`
 	Lag  int `yaml:"lag_s"`
 }
 
-// NoisyInterval is a time in which a workload harms more.
-type NoisyInterval struct {
+// NoiseInterval is a time in which a workload harms more.
+type NoiseInterval struct {
 	From     int     `yaml:"from"`
 	To       int     `yaml:"to"`
 	Workload string  `yaml:"workload"`
-	Times    float64 `yaml:"times"`
+	Factor   float64 `yaml:"times"`
 }
 
 // Days reads all days, in the order of their files.
@@ -127,17 +127,17 @@
 	return all, nil
 }
 
-// load is the share of all slots that requests take at a second.
-func (d *Day) load(second float64) float64 {
-	place := second / float64(d.Seconds) * float64(len(d.Service.Load)-1)
-	i := min(int(place), len(d.Service.Load)-2)
-	part := place - float64(i)
-	return d.Service.Load[i]*(1-part) + d.Service.Load[i+1]*part
+// slotShare is the share of all slots that requests take at a second.
+func (d *Day) slotShare(second float64) float64 {
+	position := second / float64(d.Seconds) * float64(len(d.Service.Load)-1)
+	i := min(int(position), len(d.Service.Load)-2)
+	fraction := position - float64(i)
+	return d.Service.Load[i]*(1-fraction) + d.Service.Load[i+1]*fraction
 }
 
 func (d *Day) lag(second int) time.Duration {
 	lag := d.ReportLag
-	for _, l := range d.Late {
+	for _, l := range d.ReportDelays {
 		if second >= l.From && second < l.To {
 			lag = l.Lag
 		}
@@ -145,16 +145,16 @@
 	return time.Duration(lag) * time.Second
 }
 
-func (d *Day) noise(second int, workload string) float64 {
+func (d *Day) interferenceFactor(second int, workload string) float64 {
 	for _, n := range d.Noise {
 		if n.Workload == workload && second >= n.From && second < n.To {
-			return n.Times
+			return n.Factor
 		}
 	}
 	return 1
 }
 
-func happens(events []WorkerEvent, worker, second int) bool {
+func isAffected(events []WorkerEvent, worker, second int) bool {
 	for _, e := range events {
 		if e.Worker == worker && second >= e.From && (e.Until == 0 || second < e.Until) {
 			return true
--- a/proving/decision/decide.go
+++ b/proving/decision/decide.go
@@ -21,8 +21,8 @@
 
 var workerProbation = probation.Policy{Failures: 3, Wait: 10 * time.Second}
 
-// decide measures each worker, applies the remedies, plans, and brings the fake workers to the plan.
-func (s *sim) decide(second int) {
+// schedule measures each worker, applies the remedies, plans, and brings the fake workers to the plan.
+func (s *sim) schedule(second int) {
 	for _, w := range s.workers {
 		if !w.lost {
 			s.measure(w, second)
@@ -30,14 +30,14 @@
 	}
 	workers := s.snapshotWorkers()
 	snapshot := scheduling.NewSnapshot(s.clock(), s.rows, workers, scheduling.FullShare()).
-		WithEstimates(s.sizes).WithModel(s.model).WithNotBefore(s.before).WithOptions(s.column.options)
-	if s.column.placer == planned {
+		WithEstimates(s.sizes).WithModel(s.model).WithNotBefore(s.notBefore).WithOptions(s.variant.options)
+	if s.variant.placer == scheduler {
 		plan := scheduling.Make(s.document, snapshot)
 		for _, run := range plan.Evict() {
 			s.evict(run)
 		}
 	} else {
-		s.planSimply(snapshot, workers)
+		s.planBaseline(snapshot, workers)
 	}
 	s.apply()
 }
@@ -46,22 +46,22 @@
 func (s *sim) snapshotWorkers() []scheduling.Worker {
 	workers := make([]scheduling.Worker, 0, len(s.workers))
 	for _, w := range s.workers {
-		described := scheduling.NewWorker(w.instance(), s.capacityOf(w), 1+w.number/3).WithBatchBlocked(w.remedy.BlocksBatch()).WithTolerance(remedy.DefaultPolicy().Tolerance(w.ratio))
+		worker := scheduling.NewWorker(w.instance(), s.capacityOf(w), 1+w.number/3).WithBatchBlocked(w.remedy.BlocksBatch()).WithTolerance(remedy.DefaultPolicy().Tolerance(w.ratio))
 		if w.replica != nil {
-			described = described.WithBands(map[string]interference.Band{s.day.Service.Name: w.band})
+			worker = worker.WithBands(map[string]interference.Band{s.day.Service.Name: w.band})
 		}
 		switch {
 		case w.lost:
-			described = described.WithClosed(placement.WorkerLeaving)
-		case !s.column.noProbation && !workerProbation.Allows(&w.health, s.clock()):
-			described = described.WithClosed(placement.WorkerProbation)
+			worker = worker.WithClosed(placement.WorkerLeaving)
+		case !s.variant.noProbation && !workerProbation.Allows(&w.health, s.clock()):
+			worker = worker.WithClosed(placement.WorkerProbation)
 		}
-		workers = append(workers, described)
+		workers = append(workers, worker)
 	}
 	return workers
 }
 
-const fewSamples = 5
+const minSamples = 5
 
 // measure looks at the latency of a worker's replica and applies the remedies there, as an agent does.
 func (s *sim) measure(w *fakeWorker, second int) {
@@ -70,21 +70,21 @@
 	}
 	r := w.replica
 	neighbors := s.neighbors(w)
-	if n := r.window.TotalCount(); n >= fewSamples {
+	if n := r.window.TotalCount(); n >= minSamples {
 		w.ratio = float64(r.window.ValueAtQuantile(99)) / (s.day.Service.TargetMs * 1000)
-		w.band = interference.BandOf(r.busy / float64(max(r.offers, 1)))
-		mean := r.ran / time.Duration(n)
+		w.band = interference.BandOf(r.loadSum / float64(max(r.offered, 1)))
+		mean := r.totalRuntime / time.Duration(n)
 		w.slowdown = w.model.Observe(s.day.Service.Name, w.band, neighbors, mean, n, s.clock())
-		s.observe(w.band, neighbors, mean, n, second)
+		s.reportLatency(w.band, neighbors, mean, n, second)
 	}
 	r.window.Reset()
-	r.busy, r.offers, r.ran = 0, 0, 0
+	r.loadSum, r.offered, r.totalRuntime = 0, 0, 0
 	in := remedy.Input{Now: s.clock(), LatencyRatio: w.ratio, Slowdown: w.slowdown, Loads: s.loads(w)}
 	evicts := remedy.DefaultPolicy().Step(&w.remedy, in)
 	switch {
-	case s.column.evictBreach && w.ratio >= 1:
+	case s.variant.evictOnViolation && w.ratio >= 1:
 		s.evictOne(w, false)
-	case evicts && !s.column.noEvict && !s.column.evictBreach:
+	case evicts && !s.variant.noEvict && !s.variant.evictOnViolation:
 		s.evictOne(w, true)
 	}
 }
@@ -94,16 +94,16 @@
 	shares := s.shares(w, false)
 	loads := make([]remedy.Load, 0, len(shares))
 	for _, n := range shares {
-		harm := w.model.MeanSlowdown(s.day.Service.Name, n.Workload(), w.band, s.clock()) * n.Share()
-		loads = append(loads, remedy.NewLoad(n.Workload(), harm, s.load[n.Workload()].Weight))
+		slowdown := w.model.MeanSlowdown(s.day.Service.Name, n.Workload(), w.band, s.clock()) * n.Share()
+		loads = append(loads, remedy.NewLoad(n.Workload(), slowdown, s.workloads[n.Workload()].Weight))
 	}
 	return loads
 }
 
-// observe sends what was measured on its late way to the cell's model.
-func (s *sim) observe(band interference.Band, neighbors []interference.Neighbor, mean time.Duration, n int64, second int) {
+// reportLatency sends what was measured on its late way to the cell's model.
+func (s *sim) reportLatency(band interference.Band, neighbors []interference.Neighbor, mean time.Duration, n int64, second int) {
 	service, at := s.day.Service.Name, s.clock()
-	s.reports = append(s.reports, lateReport{arrives: s.now + s.day.lag(second), take: func() {
+	s.reports = append(s.reports, delayedReport{arrivesAt: s.now + s.day.lag(second), apply: func() {
 		s.model.Observe(service, band, neighbors, mean, n, at)
 	}})
 }
@@ -135,11 +135,11 @@
 		if t.IsService() || (budgeted && !scheduling.Evictable(t, s.rows)) {
 			continue
 		}
-		if _, runs := w.runs[t.Run()]; !runs {
+		if _, running := w.runs[t.Run()]; !running {
 			continue
 		}
-		if of := s.load[t.Workload()].Weight; !found || of < weight {
-			best, found, weight = t, true, of
+		if candidate := s.workloads[t.Workload()].Weight; !found || candidate < weight {
+			best, found, weight = t, true, candidate
 		}
 	}
 	if found {
@@ -165,7 +165,7 @@
 		for _, t := range s.document.PlacedOn(w.instance()) {
 			s.start(w, t)
 		}
-		for _, run := range w.ordered() {
+		for _, run := range w.sortedRuns() {
 			if t, ok := s.document.Task(run.ID()); !ok || t.Run() != run || s.isCanceled(run) {
 				s.endRun(w, run, task.Stopped)
 			}
@@ -187,9 +187,9 @@
 		return
 	}
 	progress, _ := strconv.ParseFloat(t.Checkpoint(), 64)
-	load := s.load[t.Workload()]
+	load := s.workloads[t.Workload()]
 	if t.Checkpoint() != "" {
-		progress -= restore / float64(load.RuntimeS)
+		progress -= restoreSeconds / float64(load.RuntimeS)
 	}
 	w.runs[t.Run()] = &fakeRun{load: load, size: t.Size(), progress: progress, started: s.now}
 	workerProbation.StartTrial(&w.health)
@@ -201,7 +201,7 @@
 	}
 	v := s.day.Service
 	queue := v.Queue
-	if s.column.noAdmission {
+	if s.variant.noAdmission {
 		queue = 1 << 30
 	}
 	w.replica = &fakeReplica{
@@ -211,8 +211,8 @@
 	s.replicas = append(s.replicas, w.replica)
 }
 
-// planSimply places services like ours, and batch tasks in their order by a simple rule on declared sizes.
-func (s *sim) planSimply(snapshot scheduling.Snapshot, workers []scheduling.Worker) {
+// planBaseline places services like ours, and batch tasks in their order by a simple rule on declared sizes.
+func (s *sim) planBaseline(snapshot scheduling.Snapshot, workers []scheduling.Worker) {
 	services := snapshot.WithOptions(scheduling.Options{ServicesOnly: true})
 	scheduling.Make(s.document, services)
 	free := s.freeByWorker(workers)
@@ -222,7 +222,7 @@
 		}
 		size := snapshot.Size(s.row(j.Workload()))
 		for _, id := range s.waitingTasks(j) {
-			i := s.pickSimply(workers, free, size)
+			i := s.pickBaseline(workers, free, size)
 			if i < 0 {
 				break
 			}
@@ -247,7 +247,7 @@
 func (s *sim) waitingTasks(j cell.Job) []task.ID {
 	var ids []task.ID
 	for _, t := range s.document.Tasks() {
-		if t.ID().Job() == j.ID() && !t.IsPlaced() && !s.clock().Before(s.before[t.ID()]) {
+		if t.ID().Job() == j.ID() && !t.IsPlaced() && !s.clock().Before(s.notBefore[t.ID()]) {
 			ids = append(ids, t.ID())
 		}
 	}
@@ -257,15 +257,15 @@
 	return ids
 }
 
-// pickSimply takes the first worker with room, or the one with the most; without colocation only those without a replica.
-func (s *sim) pickSimply(workers []scheduling.Worker, free []resource.Vector, size resource.Vector) int {
+// pickBaseline takes the first worker with room, or the one with the most; without colocation only those without a replica.
+func (s *sim) pickBaseline(workers []scheduling.Worker, free []resource.Vector, size resource.Vector) int {
 	best := -1
 	for i := range workers {
 		w := s.workers[i]
-		if w.lost || !size.Fits(free[i]) || (s.column.separate && w.replica != nil) {
+		if w.lost || !size.Fits(free[i]) || (s.variant.dedicated && w.replica != nil) {
 			continue
 		}
-		if s.column.placer == firstFit {
+		if s.variant.placer == firstFit {
 			return i
 		}
 		if best < 0 || free[i].Processors() > free[best].Processors() {
--- a/proving/decision/result.go
+++ b/proving/decision/result.go
@@ -9,18 +9,18 @@
 
 // Result is what a day came to under a column.
 type Result struct {
-	requests  int
-	late      int
-	refused   int
-	evictions int
-	failures  int
-	broken    int
-	workDone  float64
-	workLost  float64
-	onTime    float64
-	p50       float64
-	p99       float64
-	p999      float64
+	requests      int
+	late          int
+	refused       int
+	evictions     int
+	failures      int
+	overcommitted int
+	workDone      float64
+	workLost      float64
+	endedShare    float64
+	p50           float64
+	p99           float64
+	p999          float64
 }
 
 func (s *sim) row(workload string) table.Row {
@@ -28,8 +28,8 @@
 	return r
 }
 
-// finish works out the latencies, and the share of the tasks due that ended.
-func (s *sim) finish() {
+// summarize works out the latencies, and the share of the tasks due that ended.
+func (s *sim) summarize() {
 	target := s.day.Service.TargetMs * 1000
 	s.result.p50 = float64(s.window.ValueAtQuantile(50)) / target
 	s.result.p99 = float64(s.window.ValueAtQuantile(99)) / target
@@ -42,13 +42,13 @@
 		due += j.Tasks()
 		ended += j.Finished()
 	}
-	s.result.onTime = float64(ended) / float64(max(due, 1))
+	s.result.endedShare = float64(ended) / float64(max(due, 1))
 }
 
 // Measure is one figure of a result.
 type Measure struct {
-	name string
-	of   func(Result) float64
+	name  string
+	value func(Result) float64
 }
 
 // Name returns the heading of the figure.
@@ -61,12 +61,12 @@
 		{"p99/target", func(r Result) float64 { return r.p99 }},
 		{"p99.9/target", func(r Result) float64 { return r.p999 }},
 		{"late or refused %", func(r Result) float64 { return 100 * float64(r.late+r.refused) / float64(max(r.requests, 1)) }},
-		{"tasks ended %", func(r Result) float64 { return 100 * r.onTime }},
+		{"tasks ended %", func(r Result) float64 { return 100 * r.endedShare }},
 		{"batch work", func(r Result) float64 { return r.workDone / 1000 }},
 		{"evictions", func(r Result) float64 { return float64(r.evictions) }},
 		{"work lost s", func(r Result) float64 { return r.workLost }},
 		{"failed starts", func(r Result) float64 { return float64(r.failures) }},
-		{"broken", func(r Result) float64 { return float64(r.broken) }},
+		{"broken", func(r Result) float64 { return float64(r.overcommitted) }},
 	}
 }
 
@@ -74,7 +74,7 @@
 func Median(results []Result, m Measure) (median, low, high float64) {
 	values := make([]float64, 0, len(results))
 	for _, r := range results {
-		values = append(values, m.of(r))
+		values = append(values, m.value(r))
 	}
 	slices.Sort(values)
 	return values[len(values)/2], values[0], values[len(values)-1]
--- a/proving/decision/variant.go
+++ b/proving/decision/variant.go
@@ -8,39 +8,39 @@
 type placer int
 
 const (
-	planned placer = iota
+	scheduler placer = iota
 	firstFit
 	leastLoaded
 )
 
-// Column is one way of deciding; the zero value is ours.
-type Column struct {
-	name        string
-	placer      placer
-	options     scheduling.Options
-	noBatch     bool
-	separate    bool
-	noThrottle  bool
-	noEvict     bool
-	evictBreach bool
-	noProbation bool
-	noAdmission bool
-	noBalance   bool
+// Variant is one way of deciding; the zero value is ours.
+type Variant struct {
+	name             string
+	placer           placer
+	options          scheduling.Options
+	noBatch          bool
+	dedicated        bool
+	noThrottle       bool
+	noEvict          bool
+	evictOnViolation bool
+	noProbation      bool
+	noAdmission      bool
+	noBalancing      bool
 }
 
 // Name returns the name of the column.
-func (c Column) Name() string { return c.name }
+func (v Variant) Name() string { return v.name }
 
-// Columns returns ours, the simpler ways, and ours with each part turned off.
-func Columns() []Column {
-	return []Column{
+// Variants returns ours, the simpler ways, and ours with each part turned off.
+func Variants() []Variant {
+	return []Variant{
 		{name: "no batch work", noBatch: true},
 		{name: "ours"},
 		{name: "first fit, declared", placer: firstFit, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "least loaded, declared", placer: leastLoaded, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
-		{name: "static reservation", placer: leastLoaded, separate: true, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
+		{name: "static reservation", placer: leastLoaded, dedicated: true, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "throttle only", placer: leastLoaded, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
-		{name: "evict on breach", placer: leastLoaded, noThrottle: true, evictBreach: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
+		{name: "evict on breach", placer: leastLoaded, noThrottle: true, evictOnViolation: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "ours without sizing", options: scheduling.Options{NoSizing: true}},
 		{name: "ours without interference", options: scheduling.Options{NoInterference: true}},
 		{name: "ours without pressure", options: scheduling.Options{NoBatchBlocking: true}},
@@ -49,6 +49,6 @@
 		{name: "ours without eviction", noEvict: true},
 		{name: "ours without probation", noProbation: true},
 		{name: "ours without admission", noAdmission: true},
-		{name: "ours without balancing", noBalance: true},
+		{name: "ours without balancing", noBalancing: true},
 	}
 }
--- a/proving/fleet/addresses.go
+++ b/proving/fleet/addresses.go
@@ -22,16 +22,16 @@
 func (a addresses) entry(i int) string { return fmt.Sprintf("%s.%d", a.block, i+1) }
 
 // agent returns the IP number of an agent.
-func (a addresses) agent(i int) string { return fmt.Sprintf("%s.%d", a.block, mostEntries+i+1) }
+func (a addresses) agent(i int) string { return fmt.Sprintf("%s.%d", a.block, maxEntries+i+1) }
 
-// mostEntries bounds the entries of a fleet, whose IP numbers come before those of the agents.
-const mostEntries = 50
+// maxEntries bounds the entries of a fleet, whose IP numbers come before those of the agents.
+const maxEntries = 50
 
 // fleets counts the fleets of this process.
 var fleets atomic.Int32
 
-// at joins an IP number and a port.
-func at(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
+// hostPort joins an IP number and a port.
+func hostPort(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 
 const (
 	// firstPort and portCount bound the ports of fleets: below those that the system gives to outgoing connections, which may take any of its own
@@ -42,18 +42,18 @@
 	portStride = 487
 )
 
-// chosen counts the ports that this process has chosen, so that no two of its fleets choose the same.
-var chosen atomic.Int32
+// chosenPorts counts the ports that this process has chosenPorts, so that no two of its fleets choose the same.
+var chosenPorts atomic.Int32
 
 // freePorts returns ports that nothing on the machine listens on.
 func freePorts(n int) ([]int, error) {
 	ports := make([]int, 0, n)
-	var failed error
+	var lastErr error
 	for range portCount {
-		port := firstPort + (os.Getpid()*portStride+int(chosen.Add(1)))%portCount
+		port := firstPort + (os.Getpid()*portStride+int(chosenPorts.Add(1)))%portCount
 		l, err := net.Listen("tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 		if err != nil {
-			failed = err
+			lastErr = err
 			continue
 		}
 		_ = l.Close()
@@ -61,5 +61,5 @@
 			return ports, nil
 		}
 	}
-	return nil, failed
+	return nil, lastErr
 }
--- a/proving/fleet/answer.go
+++ b/proving/fleet/answer.go
@@ -9,8 +9,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/fault"
 )
 
-// write answers with a body in JSON.
-func write(ctx *fasthttp.RequestCtx, body any) {
+// writeJSON answers with a body in JSON.
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -20,18 +20,18 @@
 	ctx.SetBody(encoded)
 }
 
-// answer answers an order, with the reason where it is refused.
-func answer(ctx *fasthttp.RequestCtx, l *life, reason string) {
+// answerOrder answers an order, with the reason where it is refused.
+func answerOrder(ctx *fasthttp.RequestCtx, l *incarnation, reason string) {
 	body := map[string]any{"clock-ms": l.clock()}
 	if reason != "" {
 		body["reason"] = reason
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 	}
-	write(ctx, body)
+	writeJSON(ctx, body)
 }
 
-// read takes the JSON body of a call, and answers one that is malformed.
-func read(ctx *fasthttp.RequestCtx, body any) bool {
+// readJSON takes the JSON body of a call, and answers one that is malformed.
+func readJSON(ctx *fasthttp.RequestCtx, body any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), body); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return false
@@ -39,11 +39,11 @@
 	return true
 }
 
-// refuse answers an error as the platform does; an answer that is lost breaks the connection.
-func refuse(ctx *fasthttp.RequestCtx, err error) {
+// writeError answers an error as the platform does; an answer that is lost breaks the connection.
+func writeError(ctx *fasthttp.RequestCtx, err error) {
 	switch fault.KindOf(err) {
 	case fault.OutcomeUnknown:
-		lose(ctx)
+		dropConnection(ctx)
 	case fault.Conflict:
 		ctx.SetStatusCode(fasthttp.StatusPreconditionFailed)
 	case fault.NotFound:
@@ -57,8 +57,8 @@
 	}
 }
 
-// lose breaks the connection in place of an answer.
-func lose(ctx *fasthttp.RequestCtx) {
+// dropConnection breaks the connection in place of an answer.
+func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(closeConn)
 }
--- a/proving/fleet/checker.go
+++ b/proving/fleet/checker.go
@@ -10,166 +10,166 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// Books hold what callers were told and what workers did, and note each broken promise when it happens.
-type Books struct {
-	mu     sync.Mutex
-	jobs   map[job.ID]*entry
-	tasks  map[job.TaskID]*history
-	broken []string
-	// closed is since when each closed hall is.
-	closed map[string]time.Time
-	starts int
-	// contacts are the times from the starts of incarnations to the first calls that reached them.
-	contacts []time.Duration
+// Checker hold what callers were told and what workers did, and note each broken promise when it happens.
+type Checker struct {
+	mu         sync.Mutex
+	jobs       map[job.ID]*jobRecord
+	tasks      map[job.TaskID]*taskRecord
+	violations []string
+	// closedAt is since when each closedAt hall is.
+	closedAt   map[string]time.Time
+	startCount int
+	// firstCalls are the times from the starts of incarnations to the first calls that reached them.
+	firstCalls []time.Duration
 }
 
-// entry is a job as its caller knows it.
-type entry struct {
+// jobRecord is a job as its caller knows it.
+type jobRecord struct {
 	spec     job.Spec
 	accepted bool
-	// open says that an attempt got no answer that settles it, so that the job may run without having been accepted; begun
+	// outcomeUnknown says that an attempt got no answer that settles it, so that the job may run without having been accepted; begun
 	// that a task of it was started.
-	open  bool
-	begun bool
-	// flying counts the attempts that are not answered yet.
-	flying   int
-	canceled time.Time
-	// canceling says that its caller asked to cancel it, which may have been done without an answer.
-	canceling bool
-	seen      job.State
+	outcomeUnknown bool
+	started        bool
+	// inFlight counts the attempts that are not answered yet.
+	inFlight   int
+	canceledAt time.Time
+	// cancelRequested says that its caller asked to cancel it, which may have been done without an answer.
+	cancelRequested bool
+	lastState       job.State
 }
 
-// history is what became of a task.
-type history struct {
-	alive map[string]int
-	done  int
-	noted bool
-	// crashes counts the workers that the task crashed, after its starts since the third of them, lost the workers that
+// taskRecord is what became of a task.
+type taskRecord struct {
+	running      map[string]int
+	doneCount    int
+	acknowledged bool
+	// crashCount counts the workers that the task crashed, after its starts since the third of them, lost the workers that
 	// crashed while they ran it, whatever crashed them.
-	crashes int
-	after   int
-	lost    int
+	crashCount         int
+	startsAfterCrashes int
+	lostRuns           int
 }
 
-// cancelBound is how long after its cancelation was acknowledged a job's tasks may still be started: the platform allows 3 s
+// cancelGrace is how long after its cancelation was acknowledged a job's tasks may still be started: the platform allows 3 s
 // to a process that nothing disturbs, and the soak disturbs all.
-const cancelBound = 12 * time.Second
+const cancelGrace = 12 * time.Second
 
-// NewBooks returns empty books.
-func NewBooks() *Books {
-	return &Books{
-		jobs: make(map[job.ID]*entry), tasks: make(map[job.TaskID]*history), closed: make(map[string]time.Time),
+// NewChecker returns empty books.
+func NewChecker() *Checker {
+	return &Checker{
+		jobs: make(map[job.ID]*jobRecord), tasks: make(map[job.TaskID]*taskRecord), closedAt: make(map[string]time.Time),
 	}
 }
 
-// fail notes a broken promise; b.mu is held.
-func (b *Books) fail(format string, args ...any) {
-	b.broken = append(b.broken, fmt.Sprintf(format, args...))
+// recordViolation notes a broken promise; b.mu is held.
+func (b *Checker) recordViolation(format string, args ...any) {
+	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
-// wrong notes that the stand-ins failed.
-func (b *Books) wrong(what string, err error) {
+// recordHarnessError notes that the stand-ins failed.
+func (b *Checker) recordHarnessError(context string, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fail("%s: %v", what, err)
+	b.recordViolation("%s: %v", context, err)
 }
 
-// history returns what became of a task; b.mu is held.
-func (b *Books) history(id job.TaskID) *history {
+// task returns what became of a task; b.mu is held.
+func (b *Checker) task(id job.TaskID) *taskRecord {
 	h := b.tasks[id]
 	if h == nil {
-		h = &history{alive: make(map[string]int)}
+		h = &taskRecord{running: make(map[string]int)}
 		b.tasks[id] = h
 	}
 	return h
 }
 
-// Sent notes a job that is about to be handed in.
-func (b *Books) Sent(id job.ID, spec job.Spec) {
+// RecordJob notes a job that is about to be handed in.
+func (b *Checker) RecordJob(id job.ID, spec job.Spec) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.jobs[id] == nil {
-		b.jobs[id] = &entry{spec: spec}
+		b.jobs[id] = &jobRecord{spec: spec}
 	}
 }
 
-// Sending notes that an attempt to hand a job in begins.
-func (b *Books) Sending(id job.ID) {
+// RecordAttempt notes that an attempt to hand a job in begins.
+func (b *Checker) RecordAttempt(id job.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.jobs[id].flying++
+	b.jobs[id].inFlight++
 }
 
-// Answered notes how an attempt to hand a job in ended: accepted, surely refused, or neither.
-func (b *Books) Answered(id job.ID, accepted, refused bool) {
+// RecordAnswer notes how an attempt to hand a job in ended: accepted, surely refused, or neither.
+func (b *Checker) RecordAnswer(id job.ID, accepted, refused bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.jobs[id]
-	e.flying--
+	e.inFlight--
 	e.accepted = e.accepted || accepted
-	e.open = e.open || !accepted && !refused
+	e.outcomeUnknown = e.outcomeUnknown || !accepted && !refused
 }
 
-// Canceling notes that the cancelation of a job is asked for.
-func (b *Books) Canceling(id job.ID) {
+// RecordCancelRequest notes that the cancelation of a job is asked for.
+func (b *Checker) RecordCancelRequest(id job.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.jobs[id].canceling = true
+	b.jobs[id].cancelRequested = true
 }
 
-// Canceled notes that the cancelation of a job was acknowledged.
-func (b *Books) Canceled(id job.ID) {
+// RecordCancellation notes that the cancelation of a job was acknowledged.
+func (b *Checker) RecordCancellation(id job.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e := b.jobs[id]; e.canceled.IsZero() {
-		e.canceled = time.Now()
+	if e := b.jobs[id]; e.canceledAt.IsZero() {
+		e.canceledAt = time.Now()
 	}
 }
 
-// Closed notes that a hall was closed, or opened again, or that this failed.
-func (b *Books) Closed(hall string, closed bool, err error) {
+// RecordClosure notes that a hall was closed, or opened again, or that this failed.
+func (b *Checker) RecordClosure(hall string, closed bool, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case err != nil:
-		b.fail("hall %s could not be closed or opened: %v", hall, err)
+		b.recordViolation("hall %s could not be closed or opened: %v", hall, err)
 	case closed:
-		b.closed[hall] = time.Now()
+		b.closedAt[hall] = time.Now()
 	default:
-		delete(b.closed, hall)
+		delete(b.closedAt, hall)
 	}
 }
 
-// judgeHall judges a start by the hall in which it happens; b.mu is held.
-func (b *Books) judgeHall(id job.TaskID, hall string) {
-	if since, closed := b.closed[hall]; closed && time.Since(since) > closedBound {
-		b.fail("%s was started in hall %s %v after that was closed", id, hall, time.Since(since))
+// checkHall judges a start by the hall in which it happens; b.mu is held.
+func (b *Checker) checkHall(id job.TaskID, hall string) {
+	if since, closed := b.closedAt[hall]; closed && time.Since(since) > closureGrace {
+		b.recordViolation("%s was started in hall %s %v after that was closed", id, hall, time.Since(since))
 	}
 }
 
-// Shown notes the state of a job that a caller was told; gone says that the job is not known.
-func (b *Books) Shown(id job.ID, state job.State, gone bool) {
+// RecordState notes the state of a job that a caller was told; gone says that the job is not known.
+func (b *Checker) RecordState(id job.ID, state job.State, unknown bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.jobs[id]
 	switch {
-	case gone && e.accepted && e.canceled.IsZero():
-		b.fail("job %s was accepted and is not known", id)
-	case gone:
+	case unknown && e.accepted && e.canceledAt.IsZero():
+		b.recordViolation("job %s was accepted and is not known", id)
+	case unknown:
 	case state == job.Failed && !b.mayFail(id, e):
-		b.fail("job %s is shown as failed though no two workers crashed under a task of it", id)
+		b.recordViolation("job %s is shown as failed though no two workers crashed under a task of it", id)
 	case state == job.Completed && !b.allDone(id, e):
-		b.fail("job %s is shown as completed though tasks are not done", id)
+		b.recordViolation("job %s is shown as completed though tasks are not done", id)
 	default:
-		e.seen = state
+		e.lastState = state
 	}
 }
 
 // allDone reports whether each task of a job was done at least once; b.mu is held.
-func (b *Books) allDone(id job.ID, e *entry) bool {
+func (b *Checker) allDone(id job.ID, e *jobRecord) bool {
 	for n, step := range e.spec.Steps {
 		for i := range step.Count {
-			if b.history(job.TaskID{Job: id, Step: n, Index: i}).done == 0 {
+			if b.task(job.TaskID{Job: id, Step: n, Index: i}).doneCount == 0 {
 				return false
 			}
 		}
@@ -177,122 +177,122 @@
 	return true
 }
 
-// has reports whether a task is one of the job's.
-func (e *entry) has(id job.TaskID) bool {
+// contains reports whether a task is one of the job's.
+func (e *jobRecord) contains(id job.TaskID) bool {
 	return id.Iteration == 0 && id.Step < len(e.spec.Steps) && id.Index < e.spec.Steps[id.Step].Count
 }
 
-// started judges a start that a worker accepted.
-func (b *Books) started(l *life, hall string, id job.TaskID, run int, text string) {
+// checkStart judges a start that a worker accepted.
+func (b *Checker) checkStart(l *incarnation, hall string, id job.TaskID, run int, text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	worker := l.key
-	b.starts++
-	e, h := b.jobs[id.Job], b.history(id)
-	b.judgeHall(id, hall)
-	b.judgeCrashes(id, h)
+	b.startCount++
+	e, h := b.jobs[id.Job], b.task(id)
+	b.checkHall(id, hall)
+	b.checkCrashes(id, h)
 	switch {
-	case e == nil || !e.has(id):
-		b.fail("%s was started, which nobody handed in", id)
+	case e == nil || !e.contains(id):
+		b.recordViolation("%s was started, which nobody handed in", id)
 		return
 	case e.spec.Text != text:
-		b.fail("%s was started with another text", id)
-	case !e.accepted && !e.open && e.flying == 0:
-		b.fail("%s was started though all attempts to hand it in were refused", id)
-	case h.noted:
-		b.fail("%s was started after its end was taken note of: run %d on %s", id, run, l)
-	case !e.canceled.IsZero() && time.Since(e.canceled) > cancelBound:
-		b.fail("%s was started %v after it was canceled", id, time.Since(e.canceled))
+		b.recordViolation("%s was started with another text", id)
+	case !e.accepted && !e.outcomeUnknown && e.inFlight == 0:
+		b.recordViolation("%s was started though all attempts to hand it in were refused", id)
+	case h.acknowledged:
+		b.recordViolation("%s was started after its end was taken note of: run %d on %s", id, run, l)
+	case !e.canceledAt.IsZero() && time.Since(e.canceledAt) > cancelGrace:
+		b.recordViolation("%s was started %v after it was canceled", id, time.Since(e.canceledAt))
 	}
-	e.begun = true
-	for other, number := range h.alive {
-		b.fail("%s runs twice: run %d on %s and run %d on %s", id, number, other, run, l)
+	e.started = true
+	for other, number := range h.running {
+		b.recordViolation("%s runs twice: run %d on %s and run %d on %s", id, number, other, run, l)
 	}
 	for _, d := range e.spec.Steps[id.Step].DependsOn {
 		for i := range e.spec.Steps[d].Count {
-			if b.history(job.TaskID{Job: id.Job, Step: d, Index: i}).done == 0 {
-				b.fail("%s was started before step %d was done", id, d)
+			if b.task(job.TaskID{Job: id.Job, Step: d, Index: i}).doneCount == 0 {
+				b.recordViolation("%s was started before step %d was done", id, d)
 			}
 		}
 	}
-	h.alive[worker] = run
+	h.running[worker] = run
 }
 
 // step returns the step of a task, how long its tasks work, and whether the job is known.
-func (b *Books) step(id job.TaskID) (job.Step, time.Duration, bool) {
+func (b *Checker) step(id job.TaskID) (job.Step, time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.jobs[id.Job]
 	if e == nil || id.Step >= len(e.spec.Steps) {
 		return job.Step{}, 0, false
 	}
-	return e.spec.Steps[id.Step], workOf(e.spec.Text), true
+	return e.spec.Steps[id.Step], taskTimeOf(e.spec.Text), true
 }
 
-// ended notes that a run is no more.
-func (b *Books) ended(worker string, id job.TaskID, done bool) {
+// recordRunEnd notes that a run is no more.
+func (b *Checker) recordRunEnd(worker string, id job.TaskID, done bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := b.history(id)
-	delete(h.alive, worker)
+	h := b.task(id)
+	delete(h.running, worker)
 	if done {
-		h.done++
+		h.doneCount++
 	}
 }
 
-// noted notes that the end of a done run was taken note of.
-func (b *Books) noted(id job.TaskID) {
+// recordAcknowledgement notes that the end of a done run was taken note of.
+func (b *Checker) recordAcknowledgement(id job.TaskID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history(id).noted = true
+	b.task(id).acknowledged = true
 }
 
-// overfull notes a start beyond a worker's room.
-func (b *Books) overfull(worker string, id job.TaskID) {
+// recordOvercommit notes a start beyond a worker's room.
+func (b *Checker) recordOvercommit(worker string, id job.TaskID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fail("%s was ordered on %s beyond its room", id, worker)
+	b.recordViolation("%s was ordered on %s beyond its room", id, worker)
 }
 
 // Unfinished returns the accepted jobs that are neither completed nor given up nor canceled, by what callers saw last.
-func (b *Books) Unfinished() []job.ID {
+func (b *Checker) Unfinished() []job.ID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var left []job.ID
+	var unfinished []job.ID
 	for id, e := range b.jobs {
-		gone := e.canceling && e.seen == job.Canceled
-		if e.accepted && e.canceled.IsZero() && e.seen != job.Completed && e.seen != job.Failed && !gone {
-			left = append(left, id)
+		canceled := e.cancelRequested && e.lastState == job.Canceled
+		if e.accepted && e.canceledAt.IsZero() && e.lastState != job.Completed && e.lastState != job.Failed && !canceled {
+			unfinished = append(unfinished, id)
 		}
 	}
-	return left
+	return unfinished
 }
 
-// Broken returns the broken promises, once all callers have their answers: while one is on its way, a job may have begun
+// Violations returns the broken promises, once all callers have their answers: while one is on its way, a job may have begun
 // that is not known to be accepted.
-func (b *Books) Broken() []string {
+func (b *Checker) Violations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	broken := slices.Clone(b.broken)
+	violations := slices.Clone(b.violations)
 	for id, e := range b.jobs {
-		if e.begun && !e.accepted && !e.open {
-			broken = append(broken, fmt.Sprintf("job %s ran though all attempts to hand it in were refused", id))
+		if e.started && !e.accepted && !e.outcomeUnknown {
+			violations = append(violations, fmt.Sprintf("job %s ran though all attempts to hand it in were refused", id))
 		}
 	}
-	return broken
+	return violations
 }
 
-// judge returns an error that names the broken promises, nil where all were kept.
-func (b *Books) judge() error {
-	broken := b.Broken()
-	if len(broken) == 0 {
+// verify returns an error that names the broken promises, nil where all were kept.
+func (b *Checker) verify() error {
+	violations := b.Violations()
+	if len(violations) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d promises broken:\n%s", len(broken), b)
+	return fmt.Errorf("%d promises broken:\n%s", len(violations), b)
 }
 
 // Counts tells of the jobs that were accepted and the runs that were started.
-func (b *Books) Counts() string {
+func (b *Checker) Counts() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	accepted, canceled := 0, 0
@@ -300,23 +300,23 @@
 		if e.accepted {
 			accepted++
 		}
-		if !e.canceled.IsZero() {
+		if !e.canceledAt.IsZero() {
 			canceled++
 		}
 	}
-	return fmt.Sprintf("%d jobs, %d accepted, %d canceled, %d starts", len(b.jobs), accepted, canceled, b.starts)
+	return fmt.Sprintf("%d jobs, %d accepted, %d canceled, %d starts", len(b.jobs), accepted, canceled, b.startCount)
 }
 
 // String returns the broken promises, one a line.
-func (b *Books) String() string { return strings.Join(b.Broken(), "\n") }
+func (b *Checker) String() string { return strings.Join(b.Violations(), "\n") }
 
 // running returns how many tasks of a step are on workers.
-func (b *Books) running(id job.ID, step int) int {
+func (b *Checker) running(id job.ID, step int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := 0
 	for i := range b.jobs[id].spec.Steps[step].Count {
-		if len(b.history(job.TaskID{Job: id, Step: step, Index: i}).alive) > 0 {
+		if len(b.task(job.TaskID{Job: id, Step: step, Index: i}).running) > 0 {
 			count++
 		}
 	}
@@ -324,7 +324,7 @@
 }
 
 // wasAccepted reports whether a job was accepted.
-func (b *Books) wasAccepted(id job.ID) bool {
+func (b *Checker) wasAccepted(id job.ID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.jobs[id].accepted
--- a/proving/fleet/closures.go
+++ b/proving/fleet/closures.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// closedBound is how long after a hall was closed tasks may still be started there: the platform allows 5 s to a process that
+// closureGrace is how long after a hall was closed tasks may still be started there: the platform allows 5 s to a process that
 // nothing disturbs, and the soak disturbs all.
-const closedBound = 12 * time.Second
+const closureGrace = 12 * time.Second
 
 // How long a hall is open before it is closed and how long it is closed then, in milliseconds: the least, and below how much more.
 const (
-	leastOpen   = 500
-	moreOpen    = 5000
-	leastClosed = 500
-	moreClosed  = 18000
+	minOpenMillis     = 500
+	openRangeMillis   = 5000
+	minClosedMillis   = 500
+	closedRangeMillis = 18000
 )
 
 // closeHalls closes a hall every so often and opens it again, until stop is closed; then all are open.
@@ -22,22 +22,22 @@
 	random := rand.New(rand.NewPCG(s.Seed, 13))
 	for {
 		hall := halls[random.IntN(len(halls))]
-		if !pause(stop, time.Duration(leastOpen+random.IntN(moreOpen))*time.Millisecond) {
+		if !sleep(stop, time.Duration(minOpenMillis+random.IntN(openRangeMillis))*time.Millisecond) {
 			return
 		}
-		s.Say("hall %s is closed", hall)
+		s.Logf("hall %s is closed", hall)
 		f.setClosed(hall, true)
-		goesOn := pause(stop, time.Duration(leastClosed+random.IntN(moreClosed))*time.Millisecond)
-		s.Say("hall %s is open again", hall)
+		elapsed := sleep(stop, time.Duration(minClosedMillis+random.IntN(closedRangeMillis))*time.Millisecond)
+		s.Logf("hall %s is open again", hall)
 		f.setClosed(hall, false)
-		if !goesOn {
+		if !elapsed {
 			return
 		}
 	}
 }
 
-// pause waits and reports whether the time passed before stop was closed.
-func pause(stop <-chan struct{}, d time.Duration) bool {
+// sleep waits and reports whether the time passed before stop was closed.
+func sleep(stop <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-stop:
 		return false
@@ -48,9 +48,9 @@
 
 // setClosed closes or opens a hall as the operators do.
 func (f *Fleet) setClosed(hall string, closed bool) {
-	change := func() error { return f.store.Remove(closures + hall) }
+	update := func() error { return f.store.Remove(closures + hall) }
 	if closed {
-		change = func() error { return f.store.Put(closures+hall, []byte("{}")) }
+		update = func() error { return f.store.Put(closures+hall, []byte("{}")) }
 	}
-	f.books.Closed(hall, closed, change())
+	f.checker.RecordClosure(hall, closed, update())
 }
--- a/proving/fleet/crash_test.go
+++ b/proving/fleet/crash_test.go
@@ -27,10 +27,10 @@
 	defer f.Close()
 	c, stop := NewCaller(f, 1), make(chan struct{})
 	var others sync.WaitGroup
-	others.Go(func() { c.Play(300*time.Millisecond, stop) })
+	others.Go(func() { c.Run(300*time.Millisecond, stop) })
 	for n := range 2 {
-		crashes := c.submit(job.Spec{Text: crashing + " work=500ms", Steps: []job.Step{demoStep(3, 500*time.Millisecond)}})
-		assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(crashes) }))
+		crashing := c.addJob(job.Spec{Text: crashMarker + " work=500ms", Steps: []job.Step{demoStep(3, 500*time.Millisecond)}})
+		assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(crashing) }))
 		// What was counted must be known to the next lead.
 		<-time.After(3 * time.Second)
 		f.entry(n).Signal(syscall.SIGKILL)
@@ -38,16 +38,16 @@
 	<-time.After(5 * time.Second)
 	close(stop)
 	others.Wait()
-	finished := f.awaitFinished(c, finishedWithin)
-	assert.NilError(t, f.books.judge())
+	finished := f.awaitFinished(c, finishTimeout)
+	assert.NilError(t, f.checker.verify())
 	assert.NilError(t, finished)
-	rightly, wrongly := f.books.GivenUp()
-	t.Logf("%s; %d workers crashed, %d jobs given up that crash workers, %d others", f.books.Counts(), f.books.Crashes(), rightly, wrongly)
+	rightly, wrongly := f.checker.GivenUp()
+	t.Logf("%s; %d workers crashed, %d jobs given up that crash workers, %d others", f.checker.Counts(), f.checker.CrashCount(), rightly, wrongly)
 	assert.Equal(t, rightly, 2)
 	assert.Equal(t, wrongly, 0)
 }
 
-// TestTaskThatTakesItsAgentAlongIsGivenUp plays what was left of that: a VM on which a task crashed the worker, and the agent with
+// TestTaskThatCrashesItsAgentTooIsGivenUp plays what was left of that: a VM on which a task crashed the worker, and the agent with
 // it, began anew with the same task.
 //
 // Order of events: a worker accepts the start and crashes 10 ms later, or 400 ms later beside work that begins all the time; its
@@ -55,7 +55,7 @@
 //
 // Cause: only an agent's word of a crash was counted. Evidence: 24 workers crashed in 37 s and neither job ended; since each run that is
 // lost with its worker counts by itself, ten crash, and both are given up.
-func TestTaskThatTakesItsAgentAlongIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsAgentTooIsGivenUp(t *testing.T) {
 	t.Parallel()
 	f, err := New(Size{Entries: 3, Agents: 5}, binaries, t.TempDir())
 	assert.NilError(t, err)
@@ -65,18 +65,18 @@
 	}
 	c, stop := NewCaller(f, 1), make(chan struct{})
 	var others sync.WaitGroup
-	others.Go(func() { c.Play(150*time.Millisecond, stop) })
+	others.Go(func() { c.Run(150*time.Millisecond, stop) })
 	for _, after := range []string{"", " after=400ms"} {
-		crashes := c.submit(job.Spec{Text: crashing + after + " work=800ms", Steps: []job.Step{demoStep(3, 800*time.Millisecond)}})
-		assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(crashes) }))
+		crashes := c.addJob(job.Spec{Text: crashMarker + after + " work=800ms", Steps: []job.Step{demoStep(3, 800*time.Millisecond)}})
+		assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(crashes) }))
 	}
 	<-time.After(20 * time.Second)
 	close(stop)
 	others.Wait()
-	finished := f.awaitFinished(c, finishedWithin)
-	rightly, wrongly := f.books.GivenUp()
-	t.Logf("%s; %d workers crashed, %d jobs given up that crash workers, %d others", f.books.Counts(), f.books.Crashes(), rightly, wrongly)
-	assert.NilError(t, f.books.judge())
+	finished := f.awaitFinished(c, finishTimeout)
+	rightly, wrongly := f.checker.GivenUp()
+	t.Logf("%s; %d workers crashed, %d jobs given up that crash workers, %d others", f.checker.Counts(), f.checker.CrashCount(), rightly, wrongly)
+	assert.NilError(t, f.checker.verify())
 	assert.NilError(t, finished)
 	assert.Equal(t, rightly, 2)
 	assert.Equal(t, wrongly, 0)
--- a/proving/fleet/crashes.go
+++ b/proving/fleet/crashes.go
@@ -9,56 +9,56 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// crashing is what callers write into the text of a job of which the first task of the first step crashes each worker that
+// crashMarker is what callers write into the text of a job of which the first task of the first step crashes each worker that
 // starts it.
-const crashing = "crashes"
+const crashMarker = "crashes"
 
 // crashesWorker reports whether a task of a job with such a text crashes each worker that starts it.
 func crashesWorker(text string, id job.TaskID) bool {
-	return id.Step == 0 && id.Index == 0 && strings.Contains(text, crashing)
+	return id.Step == 0 && id.Index == 0 && strings.Contains(text, crashMarker)
 }
 
-// crashAfterOf returns how long such a task takes to crash its worker, which callers may write into its text as "after=300ms".
-func crashAfterOf(text string) time.Duration { return durationOf(text, "after=", crashAfter) }
+// crashDelayOf returns how long such a task takes to crash its worker, which callers may write into its text as "after=300ms".
+func crashDelayOf(text string) time.Duration { return parseDuration(text, "after=", defaultCrashDelay) }
 
 const (
-	// mostCrashes is how many workers a task may crash before its starts are counted, mostAfter how many starts more there may be.
-	mostCrashes = 3
-	mostAfter   = 2
-	// leastLost is how many workers must have crashed under a task before its job may be given up.
-	leastLost = 2
+	// crashLimit is how many workers a task may crash before its starts are counted, mostAfter how many starts more there may be.
+	crashLimit       = 3
+	startsAfterLimit = 2
+	// minLostRuns is how many workers must have crashed under a task before its job may be given up.
+	minLostRuns = 2
 )
 
-// lost notes that a worker crashed while it ran a task.
-func (b *Books) lost(id job.TaskID) {
+// recordLostRun notes that a worker crashed while it ran a task.
+func (b *Checker) recordLostRun(id job.TaskID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history(id).lost++
+	b.task(id).lostRuns++
 }
 
-// crashed notes that a task crashed its worker.
-func (b *Books) crashed(id job.TaskID) {
+// recordCrash notes that a task recordCrash its worker.
+func (b *Checker) recordCrash(id job.TaskID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history(id).crashes++
+	b.task(id).crashCount++
 }
 
-// judgeCrashes judges a start by the workers that its task has crashed; b.mu is held.
-func (b *Books) judgeCrashes(id job.TaskID, h *history) {
-	if h.crashes < mostCrashes {
+// checkCrashes judges a start by the workers that its task has crashed; b.mu is held.
+func (b *Checker) checkCrashes(id job.TaskID, h *taskRecord) {
+	if h.crashCount < crashLimit {
 		return
 	}
-	h.after++
-	if h.after == mostAfter+1 {
-		b.fail("%s was started %d times more after %d workers had crashed under it", id, h.after, mostCrashes)
+	h.startsAfterCrashes++
+	if h.startsAfterCrashes == startsAfterLimit+1 {
+		b.recordViolation("%s was started %d times more after %d workers had crashed under it", id, h.startsAfterCrashes, crashLimit)
 	}
 }
 
 // mayFail reports whether a job may be shown as failed: enough workers crashed under one of its tasks; b.mu is held.
-func (b *Books) mayFail(id job.ID, e *entry) bool {
+func (b *Checker) mayFail(id job.ID, e *jobRecord) bool {
 	for n, step := range e.spec.Steps {
 		for i := range step.Count {
-			if b.history(job.TaskID{Job: id, Step: n, Index: i}).lost >= leastLost {
+			if b.task(job.TaskID{Job: id, Step: n, Index: i}).lostRuns >= minLostRuns {
 				return true
 			}
 		}
@@ -66,27 +66,27 @@
 	return false
 }
 
-// crashes reports whether a job has a task that crashes its workers.
-func (e *entry) crashes() bool { return strings.Contains(e.spec.Text, crashing) }
+// crashesWorkers reports whether a job has a task that crashesWorkers its workers.
+func (e *jobRecord) crashesWorkers() bool { return strings.Contains(e.spec.Text, crashMarker) }
 
 // GivenUp returns how many jobs were given up that crash their workers, and how many that do not.
-func (b *Books) GivenUp() (rightly, wrongly int) {
+func (b *Checker) GivenUp() (crashing, others int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.jobs {
 		switch {
-		case e.seen != job.Failed:
-		case e.crashes():
-			rightly++
+		case e.lastState != job.Failed:
+		case e.crashesWorkers():
+			crashing++
 		default:
-			wrongly++
+			others++
 		}
 	}
-	return rightly, wrongly
+	return crashing, others
 }
 
-// crashAgentsAlong lets every other worker that is crashed by a task take its agent along.
-func (f *Fleet) crashAgentsAlong() {
+// crashAgentsWithWorkers lets every other worker that is crashed by a task take its agent along.
+func (f *Fleet) crashAgentsWithWorkers() {
 	var crashes atomic.Int64
 	for n, w := range f.workers {
 		w.OnCrash(func() {
@@ -97,13 +97,13 @@
 	}
 }
 
-// Crashes returns how many workers were crashed by tasks.
-func (b *Books) Crashes() int {
+// CrashCount returns how many workers were crashed by tasks.
+func (b *Checker) CrashCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	total := 0
 	for _, h := range b.tasks {
-		total += h.crashes
+		total += h.crashCount
 	}
 	return total
 }
--- a/proving/fleet/disturbances.go
+++ b/proving/fleet/disturbances.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// slowStore is how long each answer of a slow store takes.
-	slowStore = 250 * time.Millisecond
-	// farAway is how long bytes take to an entry that is far away, and back.
-	farAway = 150 * time.Millisecond
+	// slowStoreDelay is how long each answer of a slow store takes.
+	slowStoreDelay = 250 * time.Millisecond
+	// farAwayDelay is how long bytes take to an entry that is far away, and back.
+	farAwayDelay = 150 * time.Millisecond
 )
 
 // disturbance is a kind of fault; target picks what it strikes.
 type disturbance struct {
-	name string
-	play func(f *Fleet, target int, lasts time.Duration)
+	name   string
+	inject func(f *Fleet, target int, lasts time.Duration)
 }
 
 // disturbances are those that a soak draws from; a seed stands for the same ones only while their order stays.
@@ -40,9 +40,9 @@
 		f.worker(n).SetSilent(false)
 	}},
 	{"orders late", func(f *Fleet, n int, d time.Duration) {
-		f.worker(n).SetLate(d / 2)
+		f.worker(n).SetOrderDelay(d / 2)
 		<-time.After(d)
-		f.worker(n).SetLate(0)
+		f.worker(n).SetOrderDelay(0)
 	}},
 	{"store down", func(f *Fleet, _ int, d time.Duration) {
 		f.store.SetDown(true)
@@ -50,35 +50,35 @@
 		f.store.SetDown(false)
 	}},
 	{"store slow", func(f *Fleet, _ int, d time.Duration) {
-		f.store.SetDelay(slowStore)
+		f.store.SetDelay(slowStoreDelay)
 		<-time.After(d)
 		f.store.SetDelay(0)
 	}},
-	{"answers of commits lost", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.AnswerLost) }},
-	{"commits late", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.Late) }},
-	{"commits not done", func(f *Fleet, n int, d time.Duration) { f.lose(n, d, kvtest.RequestLost) }},
+	{"answers of commits lost", func(f *Fleet, n int, d time.Duration) { f.troubleCommits(n, d, kvtest.AnswerLost) }},
+	{"commits late", func(f *Fleet, n int, d time.Duration) { f.troubleCommits(n, d, kvtest.Late) }},
+	{"commits not done", func(f *Fleet, n int, d time.Duration) { f.troubleCommits(n, d, kvtest.RequestLost) }},
 	{"entry cut from the store", func(f *Fleet, n int, d time.Duration) {
-		mute(f.storeRelays[f.entry(n).name], relay.Towards|relay.Back, d)
+		dropBytes(f.storeRelays[f.entry(n).name], relay.ToTarget|relay.FromTarget, d)
 	}},
-	{"answers of the store do not reach an entry", func(f *Fleet, n int, d time.Duration) { mute(f.storeRelays[f.entry(n).name], relay.Back, d) }},
+	{"answers of the store do not reach an entry", func(f *Fleet, n int, d time.Duration) { dropBytes(f.storeRelays[f.entry(n).name], relay.FromTarget, d) }},
 	{"agent cut from the store", func(f *Fleet, n int, d time.Duration) {
-		mute(f.storeRelays[f.agent(n).name], relay.Towards|relay.Back, d)
+		dropBytes(f.storeRelays[f.agent(n).name], relay.ToTarget|relay.FromTarget, d)
 	}},
-	{"nothing reaches an entry", func(f *Fleet, n int, d time.Duration) { mute(f.peer(n), relay.Towards, d) }},
-	{"nobody hears an entry", func(f *Fleet, n int, d time.Duration) { mute(f.peer(n), relay.Back, d) }},
+	{"nothing reaches an entry", func(f *Fleet, n int, d time.Duration) { dropBytes(f.peer(n), relay.ToTarget, d) }},
+	{"nobody hears an entry", func(f *Fleet, n int, d time.Duration) { dropBytes(f.peer(n), relay.FromTarget, d) }},
 	{"entry cut off", func(f *Fleet, n int, d time.Duration) {
 		var both sync.WaitGroup
-		both.Go(func() { mute(f.peer(n), relay.Towards|relay.Back, d) })
-		mute(f.storeRelays[f.entry(n).name], relay.Towards|relay.Back, d)
+		both.Go(func() { dropBytes(f.peer(n), relay.ToTarget|relay.FromTarget, d) })
+		dropBytes(f.storeRelays[f.entry(n).name], relay.ToTarget|relay.FromTarget, d)
 		both.Wait()
 	}},
 	{"entry far away", func(f *Fleet, n int, d time.Duration) {
-		f.peer(n).SetDelay(farAway)
+		f.peer(n).SetDelay(farAwayDelay)
 		<-time.After(d)
 		f.peer(n).SetDelay(0)
 	}},
 	{"connections reset", func(f *Fleet, n int, _ time.Duration) { f.peer(n).Reset(); f.storeRelays[f.agent(n).name].Reset() }},
-	{"history forgotten", func(f *Fleet, _ int, _ time.Duration) { f.store.Forget() }},
+	{"history forgotten", func(f *Fleet, _ int, _ time.Duration) { f.store.DropHistory() }},
 }
 
 func (f *Fleet) entry(n int) *Process { return f.entries[n%len(f.entries)] }
@@ -89,11 +89,11 @@
 
 func (f *Fleet) peer(n int) *relay.Relay { return f.peerRelays[n%len(f.peerRelays)] }
 
-// mute swallows the bytes of some ways for a while.
-func mute(r *relay.Relay, ways relay.Direction, d time.Duration) {
-	r.Mute(ways)
+// dropBytes swallows the bytes of some ways for a while.
+func dropBytes(r *relay.Relay, directions relay.Direction, d time.Duration) {
+	r.Drop(directions)
 	<-time.After(d)
-	r.Mute(0)
+	r.Drop(0)
 }
 
 // freeze stops a process for a while without ending it.
@@ -113,8 +113,8 @@
 	}
 }
 
-// lose lets a part of the commits come to grief for a while.
-func (f *Fleet) lose(n int, d time.Duration, trouble kvtest.Failure) {
+// troubleCommits lets a part of the commits come to grief for a while.
+func (f *Fleet) troubleCommits(n int, d time.Duration, trouble kvtest.Failure) {
 	random := rand.New(rand.NewPCG(uint64(n), 3))
 	f.store.SetTrouble(func() kvtest.Failure {
 		if random.IntN(3) == 0 {
--- a/proving/fleet/first_call.go
+++ b/proving/fleet/first_call.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// contact records that a call reached an incarnation, which from then on refuses what was sent under a lower fence.
-func (w *Worker) contact(l *life) {
+// recordFirstCall records that a call reached an incarnation, which from then on refuses what was sent under a lower fence.
+func (w *Worker) recordFirstCall(l *incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !l.contacted.IsZero() || w.life != l {
+	if !l.firstCall.IsZero() || w.incarnation != l {
 		return
 	}
-	l.contacted = time.Now()
-	w.books.contacted(l.contacted.Sub(l.began))
+	l.firstCall = time.Now()
+	w.checker.recordFirstCall(l.firstCall.Sub(l.start))
 }
 
-// contacted records the time from the start of an incarnation to the first call that reached it.
-func (b *Books) contacted(after time.Duration) {
+// recordFirstCall records the time from the start of an incarnation to the first call that reached it.
+func (b *Checker) recordFirstCall(after time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.contacts = append(b.contacts, after)
+	b.firstCalls = append(b.firstCalls, after)
 }
 
-// Contacts describes the times from the starts of incarnations to the first calls that reached them.
-func (b *Books) Contacts() string {
+// FirstCalls describes the times from the starts of incarnations to the first calls that reached them.
+func (b *Checker) FirstCalls() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.contacts) == 0 {
+	if len(b.firstCalls) == 0 {
 		return "no incarnation called"
 	}
-	sorted := slices.Sorted(slices.Values(b.contacts))
-	at := func(percent int) time.Duration { return sorted[(len(sorted)-1)*percent/100].Round(time.Millisecond) }
-	return fmt.Sprintf("%d incarnations called first after %v (median), %v (nine in ten), %v (longest)", len(sorted), at(50), at(90), at(100))
+	sorted := slices.Sorted(slices.Values(b.firstCalls))
+	percentile := func(percent int) time.Duration { return sorted[(len(sorted)-1)*percent/100].Round(time.Millisecond) }
+	return fmt.Sprintf("%d incarnations called first after %v (median), %v (nine in ten), %v (longest)", len(sorted), percentile(50), percentile(90), percentile(100))
 }
 
 const (
-	// contactAim is the time within which half of the incarnations are to be called: a start that was sent to an earlier one may run there before that.
-	contactAim = 100 * time.Millisecond
-	// leastContacts is how many incarnations there must be for that to be judged.
-	leastContacts = 10
+	// maxMedianFirstCall is the time within which half of the incarnations are to be called: a start that was sent to an earlier one may run there before that.
+	maxMedianFirstCall = 100 * time.Millisecond
+	// minFirstCalls is how many incarnations there must be for that to be judged.
+	minFirstCalls = 10
 )
 
-// judgeContacts returns an error where incarnations were called late.
-func (b *Books) judgeContacts() error {
+// checkFirstCalls returns an error where incarnations were called late.
+func (b *Checker) checkFirstCalls() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sorted := slices.Sorted(slices.Values(b.contacts))
-	if len(sorted) < leastContacts || sorted[len(sorted)/2] <= contactAim {
+	sorted := slices.Sorted(slices.Values(b.firstCalls))
+	if len(sorted) < minFirstCalls || sorted[len(sorted)/2] <= maxMedianFirstCall {
 		return nil
 	}
-	return fmt.Errorf("half of %d incarnations were called later than %v after their start, %v in the middle", len(sorted), contactAim, sorted[len(sorted)/2])
+	return fmt.Errorf("half of %d incarnations were called later than %v after their start, %v in the middle", len(sorted), maxMedianFirstCall, sorted[len(sorted)/2])
 }
 
 // String describes how old the incarnation is, and when a call reached it first.
-func (l *life) String() string {
-	if l.contacted.IsZero() {
-		return fmt.Sprintf("%s, %v old, not called yet", l.key, time.Since(l.began).Round(time.Millisecond))
+func (l *incarnation) String() string {
+	if l.firstCall.IsZero() {
+		return fmt.Sprintf("%s, %v old, not called yet", l.key, time.Since(l.start).Round(time.Millisecond))
 	}
-	return fmt.Sprintf("%s, %v old, called first after %v", l.key, time.Since(l.began).Round(time.Millisecond), l.contacted.Sub(l.began).Round(time.Millisecond))
+	return fmt.Sprintf("%s, %v old, called first after %v", l.key, time.Since(l.start).Round(time.Millisecond), l.firstCall.Sub(l.start).Round(time.Millisecond))
 }
--- a/proving/fleet/fleet.go
+++ b/proving/fleet/fleet.go
@@ -21,13 +21,13 @@
 	Agents  int
 }
 
-// room is what each worker has; few tasks fit at once, so that jobs wait for one another.
-var room = job.Size{CPU: 8000, Memory: 16000}
+// workerCapacity is what each worker has; few tasks fit at once, so that jobs wait for one another.
+var workerCapacity = job.Size{CPU: 8000, Memory: 16000}
 
 // Fleet is entries and agents as processes, beside workers and a store of this process.
 type Fleet struct {
 	store   *Store
-	books   *Books
+	checker *Checker
 	workers []*Worker
 	entries []*Process
 	agents  []*Process
@@ -49,8 +49,8 @@
 	var err error
 	// A port that was free may be taken by the time that it is listened on.
 	for range startAttempts {
-		f := &Fleet{store: NewStore(), books: NewBooks(), storeRelays: make(map[string]*relay.Relay), stop: make(chan struct{})}
-		if err = f.begin(size, binaries, dir); err == nil {
+		f := &Fleet{store: NewStore(), checker: NewChecker(), storeRelays: make(map[string]*relay.Relay), stop: make(chan struct{})}
+		if err = f.start(size, binaries, dir); err == nil {
 			return f, nil
 		}
 		f.Close()
@@ -64,8 +64,8 @@
 // startAttempts is how often a fleet is tried to start.
 const startAttempts = 3
 
-// begin starts the store, the entries and the agents, in this order.
-func (f *Fleet) begin(size Size, binaries, dir string) error {
+// start starts the store, the entries and the agents, in this order.
+func (f *Fleet) start(size Size, binaries, dir string) error {
 	// A block of its own keeps fleets apart that run at the same time, of this process and of others.
 	a := addresses{block: fmt.Sprintf("127.%d.%d", 16+os.Getpid()%200, fleets.Add(1)%250)}
 	ports, err := freePorts(6)
@@ -80,7 +80,7 @@
 		return err
 	}
 	for i := range size.Entries {
-		a.neighbors += at(a.entry(i), a.reports) + ","
+		a.neighbors += hostPort(a.entry(i), a.reports) + ","
 	}
 	for i := range size.Entries {
 		if err := f.addEntry(i, a, binaries, dir); err != nil {
@@ -97,21 +97,21 @@
 
 // addEntry starts an entry behind its relays.
 func (f *Fleet) addEntry(i int, a addresses, binaries, dir string) error {
-	entry := newProcess(fmt.Sprintf("entry-%d", i+1), at(a.entry(i), a.callers), binaries, dir)
+	entry := newProcess(fmt.Sprintf("entry-%d", i+1), hostPort(a.entry(i), a.callers), binaries, dir)
 	f.entries = append(f.entries, entry)
-	peers, err := relay.New(at(a.entry(i), a.peers), at(a.entry(i), a.listen))
+	peers, err := relay.New(hostPort(a.entry(i), a.peers), hostPort(a.entry(i), a.listen))
 	if err != nil {
 		return err
 	}
 	f.peerRelays = append(f.peerRelays, peers)
-	if a.store, err = f.storeFor(entry.name, a.store); err != nil {
+	if a.store, err = f.addStoreRelay(entry.name, a.store); err != nil {
 		return err
 	}
 	return entry.start(settings(a, entry.name, "entry", a.entry(i), hallOf(i), ""))
 }
 
-// storeFor returns where a process finds the store: a relay of its own.
-func (f *Fleet) storeFor(name, store string) (string, error) {
+// addStoreRelay returns where a process finds the store: a relay of its own.
+func (f *Fleet) addStoreRelay(name, store string) (string, error) {
 	r, err := relay.New("127.0.0.1:0", store)
 	if err != nil {
 		return "", err
@@ -123,25 +123,25 @@
 // addAgent starts a worker and the agent beside it.
 func (f *Fleet) addAgent(i int, a addresses, binaries, dir string) error {
 	name := fmt.Sprintf("side-%d", i+1)
-	w := NewWorker(name, hallOf(i), at(a.agent(i), a.reports), room, f.books)
+	w := NewWorker(name, hallOf(i), hostPort(a.agent(i), a.reports), workerCapacity, f.checker)
 	address, err := f.serve(a.agent(i)+":0", w.Handle)
 	if err != nil {
 		return err
 	}
 	f.workers = append(f.workers, w)
-	before, err := relay.New(a.agent(i)+":0", address)
+	workerRelay, err := relay.New(a.agent(i)+":0", address)
 	if err != nil {
 		return err
 	}
-	f.workerRelays = append(f.workerRelays, before)
-	w.door = before
+	f.workerRelays = append(f.workerRelays, workerRelay)
+	w.relay = workerRelay
 	f.serving.Go(func() { w.Run(f.stop) })
 	agent := newProcess(name, "", binaries, dir)
 	f.agents = append(f.agents, agent)
-	if a.store, err = f.storeFor(name, a.store); err != nil {
+	if a.store, err = f.addStoreRelay(name, a.store); err != nil {
 		return err
 	}
-	return agent.start(settings(a, name, "agent", a.agent(i), hallOf(i), before.Address()))
+	return agent.start(settings(a, name, "agent", a.agent(i), hallOf(i), workerRelay.Address()))
 }
 
 // serve lets a stand-in listen on an address, and returns which one it got.
@@ -165,8 +165,8 @@
 	return all
 }
 
-// Books returns what callers were told and what workers did.
-func (f *Fleet) Books() *Books { return f.books }
+// Checker returns what callers were told and what workers did.
+func (f *Fleet) Checker() *Checker { return f.checker }
 
 // Close ends all processes and servers of the fleet.
 func (f *Fleet) Close() {
--- a/proving/fleet/fleet_test.go
+++ b/proving/fleet/fleet_test.go
@@ -35,27 +35,27 @@
 
 // TestSoak plays the seeds of testdata/seeds.txt for a few seconds each: some that stand for all, and each that ever failed.
 func TestSoak(t *testing.T) {
-	playSeeds(t, "testdata/seeds.txt", Size{Entries: 3, Agents: 4}, Soak{Length: 8 * time.Second})
+	runSeeds(t, "testdata/seeds.txt", Size{Entries: 3, Agents: 4}, Soak{Duration: 8 * time.Second})
 }
 
 // TestSoakOfReturningWorkers plays seeds in which workers crash by tasks and start again under ids that they had.
 func TestSoakOfReturningWorkers(t *testing.T) {
-	playSeeds(t, "testdata/seeds_returning.txt", Size{Entries: 3, Agents: 6}, Soak{Length: 12 * time.Second, Crashes: true, Returns: true})
+	runSeeds(t, "testdata/seeds_returning.txt", Size{Entries: 3, Agents: 6}, Soak{Duration: 12 * time.Second, Crashes: true, ReuseIDs: true})
 }
 
 // TestSoakWithRates plays seeds in which the store refuses calls for their rate by turns.
 func TestSoakWithRates(t *testing.T) {
-	playSeeds(t, "testdata/seeds_rates.txt", Size{Entries: 3, Agents: 4}, Soak{Length: 8 * time.Second, Rates: true})
+	runSeeds(t, "testdata/seeds_rates.txt", Size{Entries: 3, Agents: 4}, Soak{Duration: 8 * time.Second, LimitRates: true})
 }
 
-// playSeeds plays the seeds of a file, one a line with why it is there.
-func playSeeds(t *testing.T, name string, size Size, s Soak) {
+// runSeeds plays the seeds of a file, one a line with why it is there.
+func runSeeds(t *testing.T, name string, size Size, s Soak) {
 	t.Helper()
 	file, err := os.Open(name)
 	assert.NilError(t, err)
 	defer func() { _ = file.Close() }()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		number, why, _ := strings.Cut(lines.Text(), " ")
+		number, reason, _ := strings.Cut(lines.Text(), " ")
 		if number == "#" || number == "" {
 			continue
 		}
@@ -63,14 +63,14 @@
 		assert.NilError(t, err)
 		t.Run(number, func(t *testing.T) {
 			t.Parallel()
-			t.Log(why)
+			t.Log(reason)
 			f, err := New(size, binaries, t.TempDir())
 			assert.NilError(t, err)
 			defer f.Close()
-			play := s
-			play.Seed, play.JobEvery, play.Say = seed, 120*time.Millisecond, t.Logf
-			assert.NilError(t, f.Play(play))
-			t.Log(f.Books().Counts())
+			soak := s
+			soak.Seed, soak.JobInterval, soak.Logf = seed, 120*time.Millisecond, t.Logf
+			assert.NilError(t, f.RunSoak(soak))
+			t.Log(f.Checker().Counts())
 		})
 	}
 }
--- a/proving/fleet/heartbeat.go
+++ b/proving/fleet/heartbeat.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// heartbeatEvery is how often a worker reports to the agent beside it.
-const heartbeatEvery = 300 * time.Millisecond
+// heartbeatInterval is how often a worker reports to the agent beside it.
+const heartbeatInterval = 300 * time.Millisecond
 
 // heartbeatTimeout bounds one heartbeat.
 const heartbeatTimeout = time.Second
@@ -20,17 +20,17 @@
 }
 
 // heartbeat reports the worker to the agent once.
-func (w *Worker) heartbeat() { w.send(w.composeHeartbeat()) }
+func (w *Worker) heartbeat() { w.send(w.nextHeartbeat()) }
 
-// composeHeartbeat returns the next report of the present life.
-func (w *Worker) composeHeartbeat() heartbeat {
+// nextHeartbeat returns the next report of the present life.
+func (w *Worker) nextHeartbeat() heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.life.sequence++
-	l := w.life
-	body, _ := json.Marshal(l.describe(map[string]any{
+	w.incarnation.sequence++
+	l := w.incarnation
+	body, _ := json.Marshal(l.withStartTime(map[string]any{
 		"service": service, "address": "", "zone": w.hall, "version": "v1", "slots": 8, "state": "ready",
-		"capacity": map[string]int{"cpu": w.room.CPU, "mem-mb": w.room.Memory}, "labels": []string{"a", "r1-1"},
+		"capacity": map[string]int{"cpu": w.capacity.CPU, "mem-mb": w.capacity.Memory}, "labels": []string{"a", "r1-1"},
 		"clock-ms": l.clock(), "sequence": l.sequence,
 	}))
 	return heartbeat{instance: l.instance, body: body}
--- a/proving/fleet/orders.go
+++ b/proving/fleet/orders.go
@@ -11,24 +11,24 @@
 
 // order is the body of a call about a run.
 type order struct {
-	Task    string `json:"task"`
-	Run     int    `json:"run"`
-	Text    string `json:"spec"`
-	Until   int64  `json:"until-ms"`
-	Fence   uint64 `json:"fence"`
-	Seen    uint64 `json:"last-seen"`
-	Wait    int64  `json:"wait-ms"`
-	Percent int    `json:"percent"`
+	Task         string `json:"task"`
+	Run          int    `json:"run"`
+	Spec         string `json:"spec"`
+	LeaseEnd     int64  `json:"until-ms"`
+	Fence        uint64 `json:"fence"`
+	Acknowledged uint64 `json:"last-seen"`
+	WaitMillis   int64  `json:"wait-ms"`
+	Percent      int    `json:"percent"`
 }
 
 // Handle serves the worker's protocol.
 func (w *Worker) Handle(ctx *fasthttp.RequestCtx) {
 	var o order
-	if !read(ctx, &o) {
+	if !readJSON(ctx, &o) {
 		return
 	}
 	w.mu.Lock()
-	silent, late, l := w.away(), w.late, w.life
+	silent, late, l := w.unreachable(), w.orderDelay, w.incarnation
 	w.mu.Unlock()
 	if expected := string(ctx.Request.Header.Peek("X-Expect-Instance")); expected != "" && expected != l.instance {
 		ctx.SetStatusCode(fasthttp.StatusMisdirectedRequest)
@@ -37,44 +37,44 @@
 	path := string(ctx.Path())
 	switch {
 	case silent:
-		lose(ctx)
+		dropConnection(ctx)
 	case path == "/hold":
-		w.contact(l)
-		w.hold(ctx, l, o)
+		w.recordFirstCall(l)
+		w.handleRenewal(ctx, l, o)
 	case late > 0 && o.Run%2 == 1:
-		time.AfterFunc(late, func() { w.carryOutLate(path, l, o) })
-		lose(ctx)
+		time.AfterFunc(late, func() { w.executeLate(path, l, o) })
+		dropConnection(ctx)
 	default:
-		w.contact(l)
-		answer(ctx, l, w.carryOut(path, l, o))
+		w.recordFirstCall(l)
+		answerOrder(ctx, l, w.execute(path, l, o))
 	}
 }
 
-// carryOutLate does an order that got no answer; one that falls due while the worker is down reaches no process.
-func (w *Worker) carryOutLate(path string, l *life, o order) {
+// executeLate does an order that got no answer; one that falls due while the worker is down reaches no process.
+func (w *Worker) executeLate(path string, l *incarnation, o order) {
 	if !w.isDown() {
-		w.carryOut(path, w.present(l), o)
+		w.execute(path, w.lateTarget(l), o)
 	}
 }
 
-// present returns the incarnation that carries out a late order for an earlier one: a later one under the same id does so too.
-func (w *Worker) present(l *life) *life {
+// lateTarget returns the incarnation that carries out a late order for an earlier one: a later one under the same id does so too.
+func (w *Worker) lateTarget(l *incarnation) *incarnation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life.instance == l.instance {
-		return w.life
+	if w.incarnation.instance == l.instance {
+		return w.incarnation
 	}
 	return l
 }
 
-// carryOut does an order, unless its life is over, and returns why not.
-func (w *Worker) carryOut(path string, l *life, o order) string {
+// execute does an order, unless its life is over, and returns why not.
+func (w *Worker) execute(path string, l *incarnation, o order) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
 	id, ok := job.ParseTaskID(o.Task)
 	switch {
-	case w.life != l || o.Fence < l.fence:
+	case w.incarnation != l || o.Fence < l.fence:
 		return "fence"
 	case !ok:
 		return "old"
@@ -82,9 +82,9 @@
 	l.fence = max(l.fence, o.Fence)
 	switch path {
 	case "/run-start":
-		return w.start(l, id, o)
+		return w.startRun(l, id, o)
 	case "/run-stop":
-		w.stop(l, id, o.Run)
+		w.stopRun(l, id, o.Run)
 	case "/pace":
 		if r := l.running[id]; r != nil && r.number == o.Run {
 			r.percent = o.Percent
@@ -93,85 +93,85 @@
 	return ""
 }
 
-// start begins a run, unless it is not newer than what was started or its time is over; w.mu is held.
-func (w *Worker) start(l *life, id job.TaskID, o order) string {
+// startRun begins a run, unless it is not newer than what was started or its time is over; w.mu is held.
+func (w *Worker) startRun(l *incarnation, id job.TaskID, o order) string {
 	r := l.running[id]
 	switch {
 	case r != nil && r.number == o.Run:
-		l.prolong(o.Until)
+		l.extendLease(o.LeaseEnd)
 		return ""
-	case o.Run <= l.latest[id]:
-		l.prolong(o.Until)
+	case o.Run <= l.lastRuns[id]:
+		l.extendLease(o.LeaseEnd)
 		return "old"
-	case o.Until <= l.clock():
+	case o.LeaseEnd <= l.clock():
 		return "late"
 	}
-	l.prolong(o.Until)
-	l.latest[id] = o.Run
-	step, takes, known := w.books.step(id)
-	l.running[id] = &run{number: o.Run, step: step, left: takes, looked: time.Now(), percent: 100}
-	w.books.started(l, w.hall, id, o.Run, o.Text)
-	if crashesWorker(o.Text, id) {
-		w.crashSoon(l, id, crashAfterOf(o.Text))
+	l.extendLease(o.LeaseEnd)
+	l.lastRuns[id] = o.Run
+	step, taskTime, known := w.checker.step(id)
+	l.running[id] = &run{number: o.Run, step: step, remaining: taskTime, advancedAt: time.Now(), percent: 100}
+	w.checker.checkStart(l, w.hall, id, o.Run, o.Spec)
+	if crashesWorker(o.Spec, id) {
+		w.scheduleCrash(l, id, crashDelayOf(o.Spec))
 	}
-	if used := l.used(); known && !w.bears(used) {
-		w.books.overfull(l.key, id)
+	if used := l.used(); known && !w.allows(used) {
+		w.checker.recordOvercommit(l.key, id)
 	}
 	return ""
 }
 
-// stop ends a run, and keeps older ones from a start; w.mu is held.
-func (w *Worker) stop(l *life, id job.TaskID, number int) {
-	l.latest[id] = max(l.latest[id], number)
+// stopRun ends a run, and keeps older ones from a start; w.mu is held.
+func (w *Worker) stopRun(l *incarnation, id job.TaskID, number int) {
+	l.lastRuns[id] = max(l.lastRuns[id], number)
 	if r := l.running[id]; r != nil && r.number == number {
-		w.end(id, job.EndStopped)
+		w.endRun(id, job.EndStopped)
 	}
 }
 
-// hold renews what runs and answers once there is an end, or after a wait.
-func (w *Worker) hold(ctx *fasthttp.RequestCtx, l *life, o order) {
+// handleRenewal renews what runs and answers once there is an end, or after a wait.
+func (w *Worker) handleRenewal(ctx *fasthttp.RequestCtx, l *incarnation, o order) {
 	reason := w.renew(l, o)
 	if reason != "" {
-		answer(ctx, l, reason)
+		answerOrder(ctx, l, reason)
 		return
 	}
-	deadline := time.Now().Add(time.Duration(o.Wait) * time.Millisecond)
+	deadline := time.Now().Add(time.Duration(o.WaitMillis) * time.Millisecond)
 	for {
 		w.mu.Lock()
-		news := len(l.ends) > 0
-		body := l.view()
-		over := w.life != l
+		hasEnds := len(l.endedRuns) > 0
+		body := l.renewalAnswer()
+		ended := w.incarnation != l
 		w.mu.Unlock()
-		if over {
-			lose(ctx)
+		if ended {
+			dropConnection(ctx)
 			return
 		}
-		if news || time.Now().After(deadline) {
-			write(ctx, body)
+		if hasEnds || time.Now().After(deadline) {
+			writeJSON(ctx, body)
 			return
 		}
-		<-time.After(wake)
+		<-time.After(pollInterval)
 	}
 }
 
 // renew extends the lease and drops the ends that were seen, and returns why not.
-func (w *Worker) renew(l *life, o order) string {
+func (w *Worker) renew(l *incarnation, o order) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	if w.life != l || o.Fence < l.fence {
+	if w.incarnation != l || o.Fence < l.fence {
 		return "fence"
 	}
 	l.fence = max(l.fence, o.Fence)
-	if o.Until > 0 {
-		l.prolong(o.Until)
+	if o.LeaseEnd > 0 {
+		l.extendLease(o.LeaseEnd)
 	}
-	l.ends = slices.DeleteFunc(l.ends, func(e ending) bool {
-		if e.number > o.Seen {
+	l.endedRuns = slices.DeleteFunc(l.endedRuns, func(e endedRun) bool {
+		if e.number > o.Acknowledged {
 			return false
 		}
-		if e.how == job.EndDone && !e.lapsed {
-			w.books.noted(e.task)
+		if e.kind == job.EndDone && !e.lapsed {
+			w.checker.recordAcknowledgement(e.task)
 		}
 		return true
 	})
--- a/proving/fleet/power_test.go
+++ b/proving/fleet/power_test.go
@@ -9,37 +9,37 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// TestAllPowerLostAtOnce: every process and every worker goes within milliseconds, right after acceptances, and only the store stays; the workers
+// TestAllProcessesKilledAtOnce: every process and every worker goes within milliseconds, right after acceptances, and only the store stays; the workers
 // return under the ids that they had. What was accepted is done once, and what lasts runs again.
-func TestAllPowerLostAtOnce(t *testing.T) {
+func TestAllProcessesKilledAtOnce(t *testing.T) {
 	t.Parallel()
 	f, err := New(Size{Entries: 3, Agents: 3}, binaries, t.TempDir())
 	assert.NilError(t, err)
 	defer f.Close()
 	for _, w := range f.workers {
-		w.SetRebirth(SameIDClockBehind)
+		w.SetIdentities(SameIDClockBehind)
 	}
 	c := NewCaller(f, 1)
 	step := demoStep(3, time.Second)
 	step.LongRunning = true
-	lasting := c.submit(job.Spec{Text: "work=1s", Steps: []job.Step{step}})
-	assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(lasting) }))
-	runs := func() bool { return f.books.running(lasting, 0) == step.Count }
-	assert.NilError(t, f.await(finishedWithin, runs))
+	longRunning := c.addJob(job.Spec{Text: "work=1s", Steps: []job.Step{step}})
+	assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(longRunning) }))
+	runs := func() bool { return f.checker.running(longRunning, 0) == step.Count }
+	assert.NilError(t, f.await(finishTimeout, runs))
 	var batch []job.ID
 	for range 6 {
-		id := c.submit(job.Spec{Text: "work=700ms", Steps: []job.Step{demoStep(2, 700*time.Millisecond)}})
-		assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(id) }))
+		id := c.addJob(job.Spec{Text: "work=700ms", Steps: []job.Step{demoStep(2, 700*time.Millisecond)}})
+		assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(id) }))
 		batch = append(batch, id)
 	}
 	f.killAll()
 	for _, w := range f.workers {
 		w.Crash()
 	}
-	assert.NilError(t, f.await(2*finishedWithin, runs), "what lasts")
-	assert.NilError(t, f.await(2*finishedWithin, func() bool {
-		c.AskAll()
-		return len(f.books.Unfinished()) == 1
+	assert.NilError(t, f.await(2*finishTimeout, runs), "what lasts")
+	assert.NilError(t, f.await(2*finishTimeout, func() bool {
+		c.QueryUnfinished()
+		return len(f.checker.Unfinished()) == 1
 	}), "%d batch jobs", len(batch))
-	assert.NilError(t, f.books.judge())
+	assert.NilError(t, f.checker.verify())
 }
--- a/proving/fleet/process.go
+++ b/proving/fleet/process.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// restartAfter is how long a process is gone before it is started again.
-const restartAfter = 250 * time.Millisecond
+// restartDelay is how long a process is gone before it is started again.
+const restartDelay = 250 * time.Millisecond
 
 // Process is a real program that is started again whenever it ends.
 type Process struct {
@@ -44,7 +44,7 @@
 	if err := p.launch(); err != nil {
 		return err
 	}
-	go p.keep()
+	go p.supervise()
 	return nil
 }
 
@@ -63,8 +63,8 @@
 	return command.Start()
 }
 
-// keep starts the program again whenever it has ended.
-func (p *Process) keep() {
+// supervise starts the program again whenever it has ended.
+func (p *Process) supervise() {
 	defer close(p.done)
 	for {
 		p.mu.Lock()
@@ -72,7 +72,7 @@
 		p.mu.Unlock()
 		// How it ended does not matter: it is killed most of the time.
 		_ = command.Wait()
-		<-time.After(restartAfter)
+		<-time.After(restartDelay)
 		if p.launch() != nil {
 			return
 		}
--- a/proving/fleet/return_test.go
+++ b/proving/fleet/return_test.go
@@ -11,8 +11,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// placedWithin is the time from the end of a lasting task's run until it has to run again, by the users' rules.
-const placedWithin = 6 * time.Second
+// placementTimeout is the time from the end of a lasting task's run until it has to run again, by the users' rules.
+const placementTimeout = 6 * time.Second
 
 // TestLastingTaskRunsAgainAfterItsWorkerReturnsUnderItsID plays what users saw: a lasting task did not run for 11 s though there was
 // capacity for it.
@@ -28,22 +28,22 @@
 	assert.NilError(t, err)
 	defer f.Close()
 	for _, w := range f.workers {
-		w.SetRebirth(SameIDClockBehind)
+		w.SetIdentities(SameIDClockBehind)
 	}
 	c := NewCaller(f, 1)
 	step := demoStep(6, time.Second)
 	step.LongRunning = true
-	id := c.submit(job.Spec{Text: "work=1s", Steps: []job.Step{step}})
-	assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(id) }))
-	runs := func() bool { return f.books.running(id, 0) == step.Count }
-	assert.NilError(t, f.await(finishedWithin, runs), "at the start")
+	id := c.addJob(job.Spec{Text: "work=1s", Steps: []job.Step{step}})
+	assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(id) }))
+	runs := func() bool { return f.checker.running(id, 0) == step.Count }
+	assert.NilError(t, f.await(finishTimeout, runs), "at the start")
 	for n := range 4 {
 		// A task whose worker crashes right after its start may be given up.
 		<-time.After(2 * time.Second)
 		f.worker(n).Crash()
-		assert.NilError(t, f.await(placedWithin, runs), "%d after crash %d", f.books.running(id, 0), n)
+		assert.NilError(t, f.await(placementTimeout, runs), "%d after crash %d", f.checker.running(id, 0), n)
 	}
-	assert.NilError(t, f.books.judge())
+	assert.NilError(t, f.checker.verify())
 }
 
 // TestDoneTaskIsNotStartedAgainAfterItsWorkerReturnsUnderItsID plays what users saw: a task ran a second time after its first run had ended as
@@ -56,27 +56,27 @@
 // were refused because the worker had had the run.
 func TestDoneTaskIsNotStartedAgainAfterItsWorkerReturnsUnderItsID(t *testing.T) {
 	t.Parallel()
-	for name, rebirth := range map[string]Rebirth{"ClockAhead": SameIDClockAhead, "ClockBehind": SameIDClockBehind} {
+	for name, rebirth := range map[string]IdentityFunc{"ClockAhead": SameIDClockAhead, "ClockBehind": SameIDClockBehind} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, err := New(Size{Entries: 2, Agents: 3}, binaries, t.TempDir())
 			assert.NilError(t, err)
 			defer f.Close()
 			for _, w := range f.workers {
-				w.SetRebirth(rebirth)
+				w.SetIdentities(rebirth)
 			}
 			c, stop := NewCaller(f, 1), make(chan struct{})
 			var calls sync.WaitGroup
-			calls.Go(func() { c.Play(120*time.Millisecond, stop) })
+			calls.Go(func() { c.Run(120*time.Millisecond, stop) })
 			for n := range 6 {
 				<-time.After(1500 * time.Millisecond)
 				f.worker(n).Crash()
 			}
 			close(stop)
 			calls.Wait()
-			finished := f.awaitFinished(c, finishedWithin)
-			assert.NilError(t, f.books.judge())
-			assert.NilError(t, finished, fmt.Sprint(f.books.Counts()))
+			finished := f.awaitFinished(c, finishTimeout)
+			assert.NilError(t, f.checker.verify())
+			assert.NilError(t, finished, fmt.Sprint(f.checker.Counts()))
 		})
 	}
 }
--- a/proving/fleet/settings.go
+++ b/proving/fleet/settings.go
@@ -25,7 +25,7 @@
 	text := fmt.Sprintf("id: %s\nrole: %s\naddress: %s\nhall: %s\nstrength: 0.4\nmemory_mb: 256\nports:\n  peers: %d\n  metrics: %d\n",
 		name, role, ip, hall, a.peers, a.metric)
 	text += fmt.Sprintf("listen:\n  callers: %q\n  ready: %q\n  reports: %q\n  peers: %q\n",
-		at(ip, a.callers), at(ip, a.ready), at(ip, a.reports), at(ip, a.listen))
+		hostPort(ip, a.callers), hostPort(ip, a.ready), hostPort(ip, a.reports), hostPort(ip, a.listen))
 	return text + fmt.Sprintf("neighbors: %q\nworker: %q\nstore: %q\nadvice: \"\"\ngrace_s: 6\nlog: info\n", a.neighbors, worker, a.store)
 }
 
--- a/proving/fleet/silent_test.go
+++ b/proving/fleet/silent_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// acceptedWithin bounds how long a caller tries after the connections went silent, finishedWithin all that is left then.
-	acceptedWithin = 2 * time.Second
-	finishedWithin = 15 * time.Second
+	// acceptTimeout bounds how long a caller tries after the connections went silent, finishedWithin all that is left then.
+	acceptTimeout = 2 * time.Second
+	finishTimeout = 15 * time.Second
 )
 
-// TestConnectionsThatGoSilentForGood plays each kind of path on which open connections may go silent, without a reset, while
+// TestConnectionsThatStaySilent plays each kind of path on which open connections may go silent, without a reset, while
 // new ones pass: a job handed in right afterwards is accepted, and all jobs get done.
-func TestConnectionsThatGoSilentForGood(t *testing.T) {
+func TestConnectionsThatStaySilent(t *testing.T) {
 	for name, path := range map[string]func(*Fleet) []*relay.Relay{
 		"to the store": func(f *Fleet) []*relay.Relay {
 			var all []*relay.Relay
@@ -37,18 +37,18 @@
 			defer f.Close()
 			c := NewCaller(f, 1)
 			for range 3 {
-				id := c.submit(c.draw())
-				assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(id) }))
+				id := c.addJob(c.randomSpec())
+				assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(id) }))
 				for _, r := range path(f) {
-					r.Silence()
+					r.SilenceOpen()
 				}
-				id = c.submit(c.draw())
+				id = c.addJob(c.randomSpec())
 				began := time.Now()
-				assert.NilError(t, f.await(acceptedWithin, func() bool { return c.send(id) }))
+				assert.NilError(t, f.await(acceptTimeout, func() bool { return c.submit(id) }))
 				t.Logf("accepted after %v", time.Since(began).Round(time.Millisecond))
 			}
-			assert.NilError(t, f.awaitFinished(c, finishedWithin))
-			assert.NilError(t, f.books.judge())
+			assert.NilError(t, f.awaitFinished(c, finishTimeout))
+			assert.NilError(t, f.checker.verify())
 		})
 	}
 }
--- a/proving/fleet/store.go
+++ b/proving/fleet/store.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Forget drops the history, so that watches have to begin anew.
-func (s *Store) Forget() { s.data.DropHistory() }
+// DropHistory drops the history, so that watches have to begin anew.
+func (s *Store) DropHistory() { s.data.DropHistory() }
 
 // Put writes a key as the operators do.
 func (s *Store) Put(key string, value []byte) error {
@@ -99,21 +99,21 @@
 	Gone     bool   `json:"gone,omitempty"`
 }
 
-// wireOf returns an item as the platform writes it.
-func wireOf(i kv.Item, gone bool) wireItem {
+// encodeItem returns an item as the platform writes it.
+func encodeItem(i kv.Item, gone bool) wireItem {
 	return wireItem{Key: i.Key(), Value: i.Value(), Revision: uint64(i.Revision()), Gone: gone}
 }
 
 // Handle serves the store's protocol.
 func (s *Store) Handle(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
-	down, delay, over := s.down, s.delay, s.overRate()
+	down, delay, rateLimited := s.down, s.delay, s.overRate()
 	s.mu.Unlock()
 	switch {
 	case down:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
-	case over:
+	case rateLimited:
 		ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 		return
 	}
@@ -125,7 +125,7 @@
 	case path == "/kv-key":
 		s.get(ctx)
 	case path == "/kv-range":
-		s.page(ctx)
+		s.list(ctx)
 	case path == "/kv-watch":
 		s.watch(ctx)
 	case path == "/kv-txn":
@@ -133,9 +133,9 @@
 	case path == "/kv-lease":
 		s.grant(ctx)
 	case strings.HasPrefix(path, "/kv-keep/"):
-		s.keep(ctx, path)
+		s.keepAlive(ctx, path)
 	case strings.HasPrefix(path, "/kv-lease-end/"):
-		s.end(ctx, path)
+		s.endLease(ctx, path)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
@@ -148,22 +148,22 @@
 	item, err := s.data.Get(ctx, query(ctx, "tls-key"))
 	switch {
 	case err != nil:
-		refuse(ctx, err)
+		writeError(ctx, err)
 	case item.Revision() == 0:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	default:
-		write(ctx, wireOf(item, false))
+		writeJSON(ctx, encodeItem(item, false))
 	}
 }
 
-// mostItems bounds the items of one answer.
-const mostItems = 500
+// maxItems bounds the items of one answer.
+const maxItems = 500
 
-// page answers with the items under a prefix, from a key on.
-func (s *Store) page(ctx *fasthttp.RequestCtx) {
+// list answers with the items under a prefix, from a key on.
+func (s *Store) list(ctx *fasthttp.RequestCtx) {
 	items, at, err := s.data.Range(ctx, query(ctx, "path-prefix"))
 	if err != nil {
-		refuse(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	after := query(ctx, "depends-on")
@@ -171,13 +171,13 @@
 	for _, i := range items {
 		switch {
 		case after != "" && i.Key() <= after:
-		case len(page) == mostItems:
+		case len(page) == maxItems:
 			more = true
 		default:
-			page = append(page, wireOf(i, false))
+			page = append(page, encodeItem(i, false))
 		}
 	}
-	write(ctx, map[string]any{"items": page, "more": more, "at": uint64(at)})
+	writeJSON(ctx, map[string]any{"items": page, "more": more, "at": uint64(at)})
 }
 
 func (s *Store) watch(ctx *fasthttp.RequestCtx) {
@@ -185,14 +185,14 @@
 	wait, _ := strconv.ParseInt(query(ctx, "wait-ms"), 10, 64)
 	events, at, err := s.data.Watch(context.Background(), query(ctx, "path-prefix"), kv.Revision(after), time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		refuse(ctx, err)
+		writeError(ctx, err)
 		return
 	}
-	found := make([]wireItem, 0, len(events))
+	encoded := make([]wireItem, 0, len(events))
 	for _, e := range events {
-		found = append(found, wireOf(e.Item(), e.Removed()))
+		encoded = append(encoded, encodeItem(e.Item(), e.Removed()))
 	}
-	write(ctx, map[string]any{"events": found, "at": uint64(at)})
+	writeJSON(ctx, map[string]any{"events": encoded, "at": uint64(at)})
 }
 
 func (s *Store) commit(ctx *fasthttp.RequestCtx) {
@@ -208,7 +208,7 @@
 		} `json:"put"`
 		Removes []string `json:"remove"`
 	}
-	if !read(ctx, &body) {
+	if !readJSON(ctx, &body) {
 		return
 	}
 	change := kv.Txn{Removes: body.Removes}
@@ -220,17 +220,17 @@
 	}
 	revision, err := s.data.Commit(ctx, change)
 	if err != nil {
-		refuse(ctx, err)
+		writeError(ctx, err)
 		return
 	}
-	write(ctx, map[string]any{"revision": uint64(revision)})
+	writeJSON(ctx, map[string]any{"revision": uint64(revision)})
 }
 
 func (s *Store) grant(ctx *fasthttp.RequestCtx) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
-	if !read(ctx, &body) {
+	if !readJSON(ctx, &body) {
 		return
 	}
 	ttl := time.Duration(body.TTL) * time.Millisecond
@@ -238,7 +238,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expire(id) })}
-	write(ctx, map[string]any{"lease": uint64(id), "ttl_ms": body.TTL})
+	writeJSON(ctx, map[string]any{"lease": uint64(id), "ttl_ms": body.TTL})
 }
 
 func (s *Store) expire(id kv.LeaseID) {
@@ -254,7 +254,7 @@
 	return kv.LeaseID(id)
 }
 
-func (s *Store) keep(ctx *fasthttp.RequestCtx, path string) {
+func (s *Store) keepAlive(ctx *fasthttp.RequestCtx, path string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[leaseOf(path)]
@@ -262,10 +262,10 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	write(ctx, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
+	writeJSON(ctx, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) end(ctx *fasthttp.RequestCtx, path string) {
+func (s *Store) endLease(ctx *fasthttp.RequestCtx, path string) {
 	s.expire(leaseOf(path))
-	write(ctx, struct{}{})
+	writeJSON(ctx, struct{}{})
 }
--- a/proving/fleet/unknown_sender_test.go
+++ b/proving/fleet/unknown_sender_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStrangerThatReportsFirstIsNotBelievedForGood plays what callers saw in a soak (seed 9208 with six agents, 12 s and work that crashes
+// TestFirstReportOfUnknownSenderDoesNotReplaceWorker plays what callers saw in a soak (seed 9208 with six agents, 12 s and work that crashes
 // its workers): five of six VMs ran nothing any more, and jobs waited for ever.
 //
 // Order of events: a worker crashes; before its next life has reported, somebody else reports another service, and little room, under the
@@ -15,19 +15,19 @@
 //
 // Cause: the first report under the name of a life stood for good. Evidence: the lead's log, workers heard with a room of 9 and no labels, and
 // agents that ignored `service=desk known=other` to the end.
-func TestStrangerThatReportsFirstIsNotBelievedForGood(t *testing.T) {
+func TestFirstReportOfUnknownSenderDoesNotReplaceWorker(t *testing.T) {
 	t.Parallel()
 	f, err := New(Size{Entries: 3, Agents: 2}, binaries, t.TempDir())
 	assert.NilError(t, err)
 	defer f.Close()
 	for n, w := range f.workers {
 		w.Crash()
-		own := w.composeHeartbeat()
-		w.send(heartbeat{instance: own.instance, body: []byte(fmt.Sprintf(strangeReports[4], 4000+n))})
+		next := w.nextHeartbeat()
+		w.send(heartbeat{instance: next.instance, body: []byte(fmt.Sprintf(invalidReports[4], 4000+n))})
 	}
 	c := NewCaller(f, 1)
-	id := c.submit(c.draw())
-	assert.NilError(t, f.await(finishedWithin, func() bool { return c.send(id) }))
-	assert.NilError(t, f.awaitFinished(c, finishedWithin))
-	assert.NilError(t, f.books.judge())
+	id := c.addJob(c.randomSpec())
+	assert.NilError(t, f.await(finishTimeout, func() bool { return c.submit(id) }))
+	assert.NilError(t, f.awaitFinished(c, finishTimeout))
+	assert.NilError(t, f.checker.verify())
 }
--- a/proving/fleet/worker.go
+++ b/proving/fleet/worker.go
@@ -8,39 +8,39 @@
 	"github.com/saffronpulley/saffronpulley/proving/relay"
 )
 
-// wake is how often a worker looks for what has ended.
-const wake = 10 * time.Millisecond
+// pollInterval is how often a worker looks for what has ended.
+const pollInterval = 10 * time.Millisecond
 
 // Worker stands in for a worker of the platform. It does not guard its room, so that a start beyond it shows.
 type Worker struct {
-	name  string
-	books *Books
-	agent string
-	hall  string
+	name    string
+	checker *Checker
+	agent   string
+	hall    string
 
 	mu sync.Mutex
-	// room is what the worker says it has, larger what it had before its room shrank, which counts until counts.
-	room   job.Size
-	larger job.Size
-	counts time.Time
-	life   *life
+	// capacity is what the worker says it has, larger what it had before its capacity shrank, which counts until counts.
+	capacity         job.Size
+	previousCapacity job.Size
+	previousUntil    time.Time
+	incarnation      *incarnation
 	// silent makes it answer nothing, late does orders without an answer some time later.
-	silent bool
-	late   time.Duration
-	lives  int
-	// rebirth says how the next incarnation differs from the one before.
-	rebirth Rebirth
-	// back is when the worker answers and reports again after a task crashed it; meanwhile its door is shut.
-	back time.Time
-	door *relay.Relay
-	// crashed is called when a task crashes the worker.
-	crashed func()
+	silent       bool
+	orderDelay   time.Duration
+	incarnations int
+	// nextIdentity says how the next incarnation differs from the one before.
+	nextIdentity IdentityFunc
+	// backAt is when the worker answers and reports again after a task crashed it; meanwhile its door is shut.
+	backAt time.Time
+	relay  *relay.Relay
+	// onCrash is called when a task crashes the worker.
+	onCrash func()
 }
 
 // NewWorker returns a worker that reports to an agent; Run lets it live.
-func NewWorker(name, hall, agent string, room job.Size, books *Books) *Worker {
-	w := &Worker{name: name, books: books, agent: agent, room: room, hall: hall, crashed: func() {}, rebirth: Renamed}
-	w.revive()
+func NewWorker(name, hall, agent string, capacity job.Size, checker *Checker) *Worker {
+	w := &Worker{name: name, checker: checker, agent: agent, capacity: capacity, hall: hall, onCrash: func() {}, nextIdentity: UniqueID}
+	w.restart()
 	return w
 }
 
@@ -48,67 +48,67 @@
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.revive()
+	w.restart()
 }
 
-// revive begins a new life; w.mu is held once the worker runs.
-func (w *Worker) revive() {
-	if w.life != nil {
-		for id := range w.life.running {
-			w.books.ended(w.life.key, id, false)
-			w.books.lost(id)
+// restart begins a new life; w.mu is held once the worker runs.
+func (w *Worker) restart() {
+	if w.incarnation != nil {
+		for id := range w.incarnation.running {
+			w.checker.recordRunEnd(w.incarnation.key, id, false)
+			w.checker.recordLostRun(id)
 		}
 	}
-	w.lives++
-	w.life = newLife(w.rebirth(w.name, w.lives))
-	if down := time.Until(w.back); down > 0 {
-		w.life.delay(down)
+	w.incarnations++
+	w.incarnation = newIncarnation(w.nextIdentity(w.name, w.incarnations))
+	if down := time.Until(w.backAt); down > 0 {
+		w.incarnation.delayStart(down)
 	}
 }
 
-// SetRebirth sets how later incarnations of the worker differ from the ones before, and begins the first of them.
-func (w *Worker) SetRebirth(rebirth Rebirth) {
+// SetIdentities sets how later incarnations of the worker differ from the ones before, and begins the first of them.
+func (w *Worker) SetIdentities(next IdentityFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rebirth = rebirth
-	w.revive()
+	w.nextIdentity = next
+	w.restart()
 }
 
 const (
-	// crashAfter is how long after its start a task that crashes its worker does so where its text says nothing else, downFor how
+	// defaultCrashDelay is how long after its start a task that crashes its worker does so where its text says nothing else, downFor how
 	// long the worker is away then.
-	crashAfter = 10 * time.Millisecond
-	downFor    = 2500 * time.Millisecond
+	defaultCrashDelay = 10 * time.Millisecond
+	crashDowntime     = 2500 * time.Millisecond
 )
 
 // OnCrash has something done whenever a task crashes the worker.
-func (w *Worker) OnCrash(crashed func()) {
+func (w *Worker) OnCrash(callback func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.crashed = crashed
+	w.onCrash = callback
 }
 
-// crashSoon lets a task that has just been started crash this life of the worker after a time.
-func (w *Worker) crashSoon(l *life, id job.TaskID, after time.Duration) {
-	time.AfterFunc(after, func() {
+// scheduleCrash lets a task that has just been started crash this life of the worker after a time.
+func (w *Worker) scheduleCrash(l *incarnation, id job.TaskID, delay time.Duration) {
+	time.AfterFunc(delay, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life != l {
+		if w.incarnation != l {
 			return
 		}
-		w.books.crashed(id)
-		w.back = time.Now().Add(downFor)
-		w.revive()
-		w.crashed()
-		w.door.Refuse()
-		time.AfterFunc(downFor, w.open)
+		w.checker.recordCrash(id)
+		w.backAt = time.Now().Add(crashDowntime)
+		w.restart()
+		w.onCrash()
+		w.relay.Refuse()
+		time.AfterFunc(crashDowntime, w.reopen)
 	})
 }
 
-// open lets connections in again after a crash.
-func (w *Worker) open() {
-	if err := w.door.Admit(); err != nil {
-		w.books.wrong("a worker's address could not be listened on again", err)
+// reopen lets connections in again after a crash.
+func (w *Worker) reopen() {
+	if err := w.relay.Reopen(); err != nil {
+		w.checker.recordHarnessError("a worker's address could not be listened on again", err)
 	}
 }
 
@@ -120,26 +120,26 @@
 }
 
 // down reports whether the worker has crashed and is not back yet; w.mu is held.
-func (w *Worker) down() bool { return time.Now().Before(w.back) }
+func (w *Worker) down() bool { return time.Now().Before(w.backAt) }
 
-// away reports whether the worker neither answers nor reports; w.mu is held.
-func (w *Worker) away() bool { return w.silent || w.down() }
+// unreachable reports whether the worker neither answers nor reports; w.mu is held.
+func (w *Worker) unreachable() bool { return w.silent || w.down() }
 
-// shrunkCounts is how long after a room has shrunk a start may still take the worker over it: the platform's bound of being in
+// shrinkGrace is how long after a room has shrunk a start may still take the worker over it: the platform's bound of being in
 // touch and one report.
-const shrunkCounts = 3*time.Second + heartbeatEvery
+const shrinkGrace = 3*time.Second + heartbeatInterval
 
-// SetRoom shrinks the worker's room, or lets it grow; what runs goes on.
-func (w *Worker) SetRoom(size job.Size) {
+// SetCapacity shrinks the worker's room, or lets it grow; what runs goes on.
+func (w *Worker) SetCapacity(size job.Size) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.larger, w.counts = w.room, time.Now().Add(shrunkCounts)
-	w.room = size
+	w.previousCapacity, w.previousUntil = w.capacity, time.Now().Add(shrinkGrace)
+	w.capacity = size
 }
 
-// bears reports whether a use of the room is no fault of who started it; w.mu is held.
-func (w *Worker) bears(used job.Size) bool {
-	return used.Fits(w.room) || time.Now().Before(w.counts) && used.Fits(w.larger)
+// allows reports whether a use of the room is no fault of who started it; w.mu is held.
+func (w *Worker) allows(used job.Size) bool {
+	return used.Fits(w.capacity) || time.Now().Before(w.previousUntil) && used.Fits(w.previousCapacity)
 }
 
 // SetSilent makes the worker answer and report nothing; what it runs goes on.
@@ -149,16 +149,16 @@
 	w.silent = silent
 }
 
-// SetLate makes the worker do every other order that much later, without an answer; 0 ends that.
-func (w *Worker) SetLate(late time.Duration) {
+// SetOrderDelay makes the worker do every other order that much later, without an answer; 0 ends that.
+func (w *Worker) SetOrderDelay(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.late = late
+	w.orderDelay = delay
 }
 
 // Run reports to the agent and ends what is due until stop is closed.
 func (w *Worker) Run(stop <-chan struct{}) {
-	ticker := time.NewTicker(wake)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	var reported time.Time
 	for {
@@ -169,7 +169,7 @@
 		}
 		w.mu.Lock()
 		w.advance()
-		due := !w.away() && time.Since(reported) >= heartbeatEvery
+		due := !w.unreachable() && time.Since(reported) >= heartbeatInterval
 		w.mu.Unlock()
 		if due {
 			reported = time.Now()
@@ -180,31 +180,31 @@
 
 // advance ends what is done or over; w.mu is held.
 func (w *Worker) advance() {
-	now, l := time.Now(), w.life
-	over := !l.held.IsZero() && now.After(l.held)
-	if over {
-		for i := range l.ends {
-			l.ends[i].lapsed = true
+	now, l := time.Now(), w.incarnation
+	lapsed := !l.leaseEnd.IsZero() && now.After(l.leaseEnd)
+	if lapsed {
+		for i := range l.endedRuns {
+			l.endedRuns[i].lapsed = true
 		}
 	}
 	for id, r := range l.running {
-		r.left -= now.Sub(r.looked) * time.Duration(r.percent) / 100
-		r.looked = now
+		r.remaining -= now.Sub(r.advancedAt) * time.Duration(r.percent) / 100
+		r.advancedAt = now
 		switch {
-		case over:
-			w.end(id, job.EndLapsed)
-		case r.left <= 0 && !r.step.LongRunning:
-			w.end(id, job.EndDone)
+		case lapsed:
+			w.endRun(id, job.EndLapsed)
+		case r.remaining <= 0 && !r.step.LongRunning:
+			w.endRun(id, job.EndDone)
 		}
 	}
 }
 
-// end takes a run off and keeps its end until that is taken note of; w.mu is held.
-func (w *Worker) end(id job.TaskID, how job.End) {
-	l := w.life
+// endRun takes a run off and keeps its endRun until that is taken note of; w.mu is held.
+func (w *Worker) endRun(id job.TaskID, kind job.End) {
+	l := w.incarnation
 	r := l.running[id]
 	delete(l.running, id)
-	l.next++
-	l.ends = append(l.ends, ending{number: l.next, task: id, run: r.number, how: how})
-	w.books.ended(l.key, id, how == job.EndDone)
+	l.lastEnd++
+	l.endedRuns = append(l.endedRuns, endedRun{number: l.lastEnd, task: id, run: r.number, kind: kind})
+	w.checker.recordRunEnd(l.key, id, kind == job.EndDone)
 }
--- a/proving/lateness/event.go
+++ b/proving/lateness/event.go
@@ -9,34 +9,34 @@
 
 // event is a line of a log that tells of a job.
 type event struct {
-	at     time.Duration
-	what   string
-	fields map[string]string
+	at      time.Duration
+	message string
+	fields  map[string]string
 }
 
-// line reads the simulated seconds, or those since some start, the process and the sentence; the sentence may stand in a JSON
-// line.
+// linePattern reads the simulated seconds, or those since some start, the process and the messagePattern; the messagePattern may stand in a JSON
+// linePattern.
 var (
-	line     = regexp.MustCompile(`^\s*(-?[0-9.]+) \S+ (.*)$`)
-	sentence = regexp.MustCompile(`(?:dispatch|intake): ([a-z ]+); ([^"]*)`)
+	linePattern    = regexp.MustCompile(`^\s*(-?[0-9.]+) \S+ (.*)$`)
+	messagePattern = regexp.MustCompile(`(?:dispatch|intake): ([a-z ]+); ([^"]*)`)
 )
 
 // parse reads a line of a log, false where it tells nothing of a job.
 func parse(text string) (event, bool) {
-	timed := line.FindStringSubmatch(text)
-	if timed == nil {
+	lineMatch := linePattern.FindStringSubmatch(text)
+	if lineMatch == nil {
 		return event{}, false
 	}
-	seconds, err := strconv.ParseFloat(timed[1], 64)
+	seconds, err := strconv.ParseFloat(lineMatch[1], 64)
 	if err != nil {
 		return event{}, false
 	}
-	told := sentence.FindStringSubmatch(timed[2])
-	if told == nil {
+	messageMatch := messagePattern.FindStringSubmatch(lineMatch[2])
+	if messageMatch == nil {
 		return event{}, false
 	}
-	e := event{at: time.Duration(seconds * float64(time.Second)), what: told[1], fields: make(map[string]string)}
-	for _, word := range strings.Fields(told[2]) {
+	e := event{at: time.Duration(seconds * float64(time.Second)), message: messageMatch[1], fields: make(map[string]string)}
+	for _, word := range strings.Fields(messageMatch[2]) {
 		if name, value, ok := strings.Cut(word, "="); ok {
 			e.fields[name] = value
 		}
--- a/proving/lateness/lateness.go
+++ b/proving/lateness/lateness.go
@@ -26,57 +26,57 @@
 // lateFactor times the objective is when a job is too late to be of use.
 const lateFactor = 3
 
-// Share is how the time of the jobs of one queue and outcome was spent in the mean, along their critical tasks: in each step the
+// Breakdown is how the time of the jobs of one queue and outcome was spent in the mean, along their critical tasks: in each step the
 // task that ended last.
-type Share struct {
+type Breakdown struct {
 	Queue   string
 	Outcome Outcome
 	Jobs    int
-	// Took is from handing in to the end, Objective what it should have been at the most.
-	Took      time.Duration
+	// Elapsed is from handing in to the end, Objective what it should have been at the most.
+	Elapsed   time.Duration
 	Objective time.Duration
 	// Waiting is the time before the first run of a critical task, Again that from its first run to its last, Running the
 	// last run.
-	Waiting time.Duration
-	Again   time.Duration
-	Running time.Duration
+	Waiting  time.Duration
+	Retrying time.Duration
+	Running  time.Duration
 }
 
 // task is what the logs tell of a task.
 type task struct {
-	first, last, done time.Duration
-	ended             bool
+	firstStart, lastStart, doneAt time.Duration
+	ended                         bool
 }
 
 type jobLog struct {
-	queue     string
-	handedIn  bool
-	from, to  time.Duration
-	objective time.Duration
-	// ended says that the job has ended, counted that it was done.
-	ended, counted bool
-	steps          map[string]map[string]*task
+	queue                string
+	submitted            bool
+	submittedAt, endedAt time.Duration
+	objective            time.Duration
+	// ended says that the job has ended, completed that it was done.
+	ended, completed bool
+	steps            map[string]map[string]*task
 }
 
 // Read returns the shares of the jobs in a log, by queue and outcome.
-func Read(log io.Reader) ([]Share, error) {
+func Read(log io.Reader) ([]Breakdown, error) {
 	jobs := make(map[string]*jobLog)
 	lines := bufio.NewScanner(log)
-	const longest = 1 << 20
-	lines.Buffer(nil, longest)
+	const maxLineBytes = 1 << 20
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if e, ok := parse(lines.Text()); ok {
-			take(jobs, e)
+			apply(jobs, e)
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return nil, err
 	}
-	return sum(jobs), nil
+	return summarize(jobs), nil
 }
 
-// take takes an event into its job.
-func take(jobs map[string]*jobLog, e event) {
+// apply takes an event into its job.
+func apply(jobs map[string]*jobLog, e event) {
 	name := e.fields["job"]
 	if name == "" {
 		name, _, _ = strings.Cut(e.fields["task"], ".")
@@ -86,26 +86,26 @@
 		j = &jobLog{steps: make(map[string]map[string]*task)}
 		jobs[name] = j
 	}
-	switch e.what {
+	switch e.message {
 	case "job handed in":
-		j.handIn(e)
+		j.submit(e)
 	case "task placed":
 		j.place(e)
 	case "run ended":
 		j.end(e)
 	case "job ended":
-		j.to, j.ended, j.counted = e.at, true, e.fields["state"] == "completed"
+		j.endedAt, j.ended, j.completed = e.at, true, e.fields["state"] == "completed"
 		j.objective = e.millis("objective_ms")
 	case "job canceled":
-		j.ended, j.counted = true, false
+		j.ended, j.completed = true, false
 	}
 }
 
-func (j *jobLog) handIn(e event) {
-	if j.handedIn || e.fields["outcome"] != "accepted" {
+func (j *jobLog) submit(e event) {
+	if j.submitted || e.fields["outcome"] != "accepted" {
 		return
 	}
-	j.handedIn, j.queue, j.from = true, e.fields["queue"], e.at-e.millis("ms")
+	j.submitted, j.queue, j.submittedAt = true, e.fields["queue"], e.at-e.millis("ms")
 }
 
 func (j *jobLog) place(e event) {
@@ -116,21 +116,21 @@
 	}
 	t := tasks[e.fields["task"]]
 	if t == nil {
-		t = &task{first: e.at}
+		t = &task{firstStart: e.at}
 		tasks[e.fields["task"]] = t
 	}
-	t.last = e.at
+	t.lastStart = e.at
 }
 
 func (j *jobLog) end(e event) {
 	if t := j.steps[e.step()][e.fields["task"]]; t != nil && e.fields["end"] == "done" {
-		t.done, t.ended = e.at, true
+		t.doneAt, t.ended = e.at, true
 	}
 }
 
 // outcome returns how the job ended.
 func (j *jobLog) outcome() Outcome {
-	took := j.to - j.from
+	took := j.endedAt - j.submittedAt
 	switch {
 	case !j.ended:
 		return Open
@@ -142,63 +142,65 @@
 	return TooLate
 }
 
-// critical returns the task of each step that ended last, in the order of their ends.
-func (j *jobLog) critical() []*task {
+// criticalTasks returns the task of each step that ended last, in the order of their ends.
+func (j *jobLog) criticalTasks() []*task {
 	var found []*task
 	for _, tasks := range j.steps {
 		ended := slices.DeleteFunc(slices.Collect(maps.Values(tasks)), func(t *task) bool { return !t.ended })
 		if len(ended) > 0 {
-			found = append(found, slices.MaxFunc(ended, func(a, b *task) int { return cmp.Compare(a.done, b.done) }))
+			found = append(found, slices.MaxFunc(ended, func(a, b *task) int { return cmp.Compare(a.doneAt, b.doneAt) }))
 		}
 	}
-	slices.SortFunc(found, func(a, b *task) int { return cmp.Compare(a.done, b.done) })
+	slices.SortFunc(found, func(a, b *task) int { return cmp.Compare(a.doneAt, b.doneAt) })
 	return found
 }
 
-// sum adds up the jobs by queue and outcome; what was cancelled or failed is left out.
-func sum(jobs map[string]*jobLog) []Share {
+// summarize adds up the jobs by queue and outcome; what was cancelled or failed is left out.
+func summarize(jobs map[string]*jobLog) []Breakdown {
 	type key struct {
 		queue   string
 		outcome Outcome
 	}
-	shares := make(map[key]*Share)
+	breakdowns := make(map[key]*Breakdown)
 	for _, j := range jobs {
-		if !j.handedIn || (j.ended && !j.counted) {
+		if !j.submitted || (j.ended && !j.completed) {
 			continue
 		}
 		k := key{j.queue, j.outcome()}
-		if shares[k] == nil {
-			shares[k] = &Share{Queue: k.queue, Outcome: k.outcome}
+		if breakdowns[k] == nil {
+			breakdowns[k] = &Breakdown{Queue: k.queue, Outcome: k.outcome}
 		}
-		shares[k].add(j)
+		breakdowns[k].add(j)
 	}
-	all := make([]Share, 0, len(shares))
-	for _, s := range shares {
+	all := make([]Breakdown, 0, len(breakdowns))
+	for _, s := range breakdowns {
 		all = append(all, s.mean())
 	}
-	slices.SortFunc(all, func(a, b Share) int { return cmp.Or(cmp.Compare(a.Queue, b.Queue), cmp.Compare(a.Outcome, b.Outcome)) })
+	slices.SortFunc(all, func(a, b Breakdown) int {
+		return cmp.Or(cmp.Compare(a.Queue, b.Queue), cmp.Compare(a.Outcome, b.Outcome))
+	})
 	return all
 }
 
-func (s *Share) add(j *jobLog) {
+func (s *Breakdown) add(j *jobLog) {
 	s.Jobs++
 	s.Objective += j.objective
 	if j.ended {
-		s.Took += j.to - j.from
+		s.Elapsed += j.endedAt - j.submittedAt
 	}
-	open := j.from
-	for _, t := range j.critical() {
-		s.Waiting += max(t.first-open, 0)
-		s.Again += t.last - t.first
-		s.Running += t.done - t.last
-		open = t.done
+	readyAt := j.submittedAt
+	for _, t := range j.criticalTasks() {
+		s.Waiting += max(t.firstStart-readyAt, 0)
+		s.Retrying += t.lastStart - t.firstStart
+		s.Running += t.doneAt - t.lastStart
+		readyAt = t.doneAt
 	}
 }
 
-func (s *Share) mean() Share {
+func (s *Breakdown) mean() Breakdown {
 	n := time.Duration(s.Jobs)
 	m := *s
-	for _, d := range []*time.Duration{&m.Took, &m.Objective, &m.Waiting, &m.Again, &m.Running} {
+	for _, d := range []*time.Duration{&m.Elapsed, &m.Objective, &m.Waiting, &m.Retrying, &m.Running} {
 		*d /= n
 	}
 	return m
--- a/proving/lateness/lateness_test.go
+++ b/proving/lateness/lateness_test.go
@@ -15,12 +15,12 @@
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, archive *txtar.Archive) {
 		assert.Equal(t, len(archive.Files), 2)
-		shares, err := Read(strings.NewReader(string(archive.Files[0].Data)))
+		breakdowns, err := Read(strings.NewReader(string(archive.Files[0].Data)))
 		assert.NilError(t, err)
 		var got strings.Builder
-		for _, s := range shares {
+		for _, s := range breakdowns {
 			fmt.Fprintf(&got, "%s %s jobs=%d took=%s waiting=%s again=%s running=%s\n",
-				s.Queue, s.Outcome, s.Jobs, s.Took, s.Waiting, s.Again, s.Running)
+				s.Queue, s.Outcome, s.Jobs, s.Elapsed, s.Waiting, s.Retrying, s.Running)
 		}
 		assert.Equal(t, got.String(), string(archive.Files[1].Data))
 	})
--- a/proving/platform/endpoint.go
+++ b/proving/platform/endpoint.go
@@ -55,7 +55,7 @@
 	listener net.Listener
 }
 
-const maxCounted = 64
+const maxCountedBody = 64
 
 func (e *endpoints) open(host string, service time.Duration, pressure func() float64) (*endpoint, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -76,7 +76,7 @@
 // serve runs a request: it takes the service time, longer under pressure, and echoes the body.
 func (e *endpoints) serve(ctx *fasthttp.RequestCtx, pressure func() float64) {
 	body := append([]byte(nil), ctx.Request.Body()...)
-	if len(body) <= maxCounted {
+	if len(body) <= maxCountedBody {
 		e.count(string(body))
 	}
 	if d := time.Duration(e.service.Load()); d > 0 {
@@ -84,11 +84,11 @@
 	}
 	ctx.Response.Header.SetBytesV(control.HeaderExchange, ctx.Request.Header.Peek(control.HeaderExchange))
 	ctx.SetBody(body)
-	e.spoil(ctx)
+	e.applyFault(ctx)
 }
 
-// spoil makes the answer wrong in the way that was asked for.
-func (e *endpoints) spoil(ctx *fasthttp.RequestCtx) {
+// applyFault makes the answer wrong in the way that was asked for.
+func (e *endpoints) applyFault(ctx *fasthttp.RequestCtx) {
 	switch e.fault.Load() {
 	case "other":
 		ctx.Response.Header.Set(control.HeaderExchange, "another")
--- a/proving/platform/faults.go
+++ b/proving/platform/faults.go
@@ -10,11 +10,11 @@
 
 // Faults is how a stand-in is told to fail, over its path /control/NAME.
 type Faults struct {
-	mu     sync.Mutex
-	down   bool
-	slow   time.Duration
-	lose   int
-	behind int
+	mu             sync.Mutex
+	down           bool
+	slow           time.Duration
+	answersToLose  int
+	versionsBehind int
 }
 
 // Control takes down, up, slow?ms=N, lose?answers=N and old?versions=N.
@@ -26,13 +26,13 @@
 	case "/control/down":
 		f.down = true
 	case "/control/up":
-		f.down, f.slow, f.lose, f.behind = false, 0, 0, 0
+		f.down, f.slow, f.answersToLose, f.versionsBehind = false, 0, 0, 0
 	case "/control/slow":
 		f.slow = time.Duration(args.GetUintOrZero("ms")) * time.Millisecond
 	case "/control/lose":
-		f.lose = args.GetUintOrZero("answers")
+		f.answersToLose = args.GetUintOrZero("answers")
 	case "/control/old":
-		f.behind = args.GetUintOrZero("versions")
+		f.versionsBehind = args.GetUintOrZero("versions")
 	default:
 		ctx.Error("no such fault", fasthttp.StatusNotFound)
 	}
@@ -56,10 +56,10 @@
 func (f *Faults) LoseAnswer(ctx *fasthttp.RequestCtx) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lose == 0 {
+	if f.answersToLose == 0 {
 		return
 	}
-	f.lose--
+	f.answersToLose--
 	ctx.Response.Reset()
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c netConn) { _ = c.Close() })
@@ -69,7 +69,7 @@
 func (f *Faults) Behind() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.behind
+	return f.versionsBehind
 }
 
 func writeJSON(ctx *fasthttp.RequestCtx, answer any) {
--- a/proving/platform/store.go
+++ b/proving/platform/store.go
@@ -113,7 +113,7 @@
 	ctx.SetBody(r.value)
 }
 
-const keptRecords = 8
+const maxVersions = 8
 
 func (s *Store) swap(ctx *fasthttp.RequestCtx, key string) {
 	from, _ := strconv.ParseUint(string(ctx.Request.Header.Peek(store.HeaderVersion)), 10, 64)
@@ -135,8 +135,8 @@
 		return
 	}
 	records = append(records, record{version: current + 1, value: append([]byte(nil), ctx.Request.Body()...)})
-	if len(records) > keptRecords {
-		records = records[len(records)-keptRecords:]
+	if len(records) > maxVersions {
+		records = records[len(records)-maxVersions:]
 	}
 	s.records[key] = records
 	close(s.changed)
@@ -150,26 +150,26 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.leases[key]
-	if held.until.Before(now) {
-		held = leaseRecord{}
+	current := s.leases[key]
+	if current.until.Before(now) {
+		current = leaseRecord{}
 	}
 	switch {
 	case ctx.IsGet():
 		s.reads++
-	case held.holder != "" && held.holder != holder:
+	case current.holder != "" && current.holder != holder:
 		s.writes++
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 	case ctx.IsDelete():
 		s.writes++
 		delete(s.leases, key)
-		held = leaseRecord{}
+		current = leaseRecord{}
 	default:
 		s.writes++
-		held = leaseRecord{holder: holder, until: now.Add(time.Duration(millis) * time.Millisecond)}
-		s.leases[key] = held
+		current = leaseRecord{holder: holder, until: now.Add(time.Duration(millis) * time.Millisecond)}
+		s.leases[key] = current
 	}
-	remaining := max(held.until.Sub(now), 0)
-	ctx.Response.Header.Set(store.HeaderHolder, held.holder)
+	remaining := max(current.until.Sub(now), 0)
+	ctx.Response.Header.Set(store.HeaderHolder, current.holder)
 	ctx.Response.Header.Set(store.HeaderRemaining, strconv.FormatInt(remaining.Milliseconds(), 10))
 }
--- a/proving/platform/worker.go
+++ b/proving/platform/worker.go
@@ -34,26 +34,26 @@
 	WorkerConfig
 	faults Faults
 
-	mu        sync.Mutex
-	runs      map[worker.RunWire]*workerRun
-	spans     []Span
-	over      int
-	failAll   bool
-	noSaves   bool
-	hang      bool
-	endpoints *endpoints
+	mu            sync.Mutex
+	runs          map[worker.RunWire]*workerRun
+	spans         []Span
+	overcommitted int
+	failAll       bool
+	noCheckpoints bool
+	hang          bool
+	endpoints     *endpoints
 }
 
 type workerRun struct {
-	order     worker.OrderWire
-	state     task.State
-	progress  float64
-	reference string
-	percent   int
-	lease     time.Time
-	ticked    time.Time
-	endpoint  *endpoint
-	span      int
+	order      worker.OrderWire
+	state      task.State
+	progress   float64
+	reference  string
+	percent    int
+	lease      time.Time
+	advancedAt time.Time
+	endpoint   *endpoint
+	span       int
 }
 
 // Span is the time in which a run was on the worker, in milliseconds since 1970; an end of 0 is still to come.
@@ -67,15 +67,15 @@
 	State  string         `json:"state"`
 }
 
-// Books is what the worker saw.
-type Books struct {
+// WorkerHistory is what the worker saw.
+type WorkerHistory struct {
 	Spans []Span `json:"spans"`
-	// Over counts the moments in which the VM was committed beyond what it has.
-	Over     int            `json:"over_committed"`
-	Executed map[string]int `json:"executed"`
+	// Overcommitted counts the moments in which the VM was committed beyond what it has.
+	Overcommitted int            `json:"over_committed"`
+	Executed      map[string]int `json:"executed"`
 }
 
-const tick = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
 // NewWorker returns a worker that runs nothing.
 func NewWorker(config WorkerConfig) *Worker {
@@ -90,9 +90,9 @@
 	switch {
 	case path == "/control/books":
 		w.mu.Lock()
-		books := Books{Spans: append([]Span{}, w.spans...), Over: w.over, Executed: w.endpoints.counts()}
+		history := WorkerHistory{Spans: append([]Span{}, w.spans...), Overcommitted: w.overcommitted, Executed: w.endpoints.counts()}
 		w.mu.Unlock()
-		writeJSON(ctx, books)
+		writeJSON(ctx, history)
 	case path == "/control/set":
 		w.set(ctx)
 	case strings.HasPrefix(path, "/control/"):
@@ -113,7 +113,7 @@
 		case "fail":
 			w.failAll = yes
 		case "saves":
-			w.noSaves = !yes
+			w.noCheckpoints = !yes
 		case "hang":
 			w.hang = yes
 		case "runtime":
@@ -198,7 +198,7 @@
 	}
 	now := time.Now()
 	r := &workerRun{
-		order: order, state: task.Running, reference: order.Checkpoint, percent: 100, ticked: now,
+		order: order, state: task.Running, reference: order.Checkpoint, percent: 100, advancedAt: now,
 		lease: now.Add(time.Duration(order.LeaseMillis) * time.Millisecond), span: len(w.spans),
 	}
 	if order.Checkpoint != "" {
@@ -215,7 +215,7 @@
 	w.runs[order.Run] = r
 	w.spans = append(w.spans, Span{Worker: w.Instance, Run: order.Run, From: now.UnixMilli(), Start: r.progress})
 	if !w.used().Fits(w.Capacity) {
-		w.over++
+		w.overcommitted++
 	}
 }
 
@@ -261,7 +261,7 @@
 			delete(w.runs, run)
 		}
 	case r.state.IsFinal():
-	case verb == "checkpoint" && !w.noSaves:
+	case verb == "checkpoint" && !w.noCheckpoints:
 		r.reference = "progress-" + strconv.FormatFloat(r.progress, 'f', 6, 64)
 		w.close(r, task.Checkpointed)
 	case verb == "stop":
@@ -280,7 +280,7 @@
 }
 
 func (w *Worker) tickLoop() {
-	for now := range time.Tick(tick) {
+	for now := range time.Tick(tickInterval) {
 		w.mu.Lock()
 		for _, r := range w.runs {
 			w.advance(r, now)
@@ -294,8 +294,8 @@
 	if r.state != task.Running {
 		return
 	}
-	elapsed := now.Sub(r.ticked)
-	r.ticked = now
+	elapsed := now.Sub(r.advancedAt)
+	r.advancedAt = now
 	switch {
 	case now.After(r.lease):
 		w.close(r, task.Stopped)
--- a/proving/relay/relay.go
+++ b/proving/relay/relay.go
@@ -17,12 +17,12 @@
 	// target is where new connections lead.
 	target string
 	// cut are the sources, by IP number, of which nothing passes; muted are the ways on which nothing does.
-	cut   map[string]bool
-	muted Direction
-	delay time.Duration
+	cut     map[string]bool
+	dropped Direction
+	delay   time.Duration
 	// sources are the connections that stand, with the IP number of each; silent are those on which nothing passes for good.
-	sources map[net.Conn]string
-	silent  map[net.Conn]bool
+	sources  map[net.Conn]string
+	silenced map[net.Conn]bool
 }
 
 // bufferSize is how many bytes are read at once.
@@ -33,9 +33,9 @@
 
 // The ways of bytes.
 const (
-	// Towards is from those that connect to the process, Back the other way.
-	Towards Direction = 1 << iota
-	Back
+	// ToTarget is from those that connect to the process, Back the other way.
+	ToTarget Direction = 1 << iota
+	FromTarget
 )
 
 // New returns a relay that listens on an address and passes on to a target, which may be set later.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{address: listener.Addr().String(), listener: listener, target: target, cut: make(map[string]bool), sources: make(map[net.Conn]string), silent: make(map[net.Conn]bool)}
+	r := &Relay{address: listener.Addr().String(), listener: listener, target: target, cut: make(map[string]bool), sources: make(map[net.Conn]string), silenced: make(map[net.Conn]bool)}
 	go r.accept(listener)
 	return r, nil
 }
@@ -68,8 +68,8 @@
 	r.reset(func(string) bool { return true })
 }
 
-// Admit takes connections again after Refuse, unless the relay is closed.
-func (r *Relay) Admit() error {
+// Reopen takes connections again after Refuse, unless the relay is closed.
+func (r *Relay) Reopen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -101,12 +101,12 @@
 	}
 }
 
-// Mute makes the relay swallow all bytes of some ways, whoever sends them; 0 passes all again.
-func (r *Relay) Mute(ways Direction) {
+// Drop makes the relay swallow all bytes of some ways, whoever sends them; 0 passes all again.
+func (r *Relay) Drop(directions Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.muted = ways
-	if ways == 0 {
+	r.dropped = directions
+	if directions == 0 {
 		r.reset(func(string) bool { return true })
 	}
 }
@@ -126,28 +126,28 @@
 }
 
 // reset breaks the connections of some sources, as a healed network does with what hung; r.mu is held.
-func (r *Relay) reset(of func(source string) bool) {
+func (r *Relay) reset(matches func(source string) bool) {
 	for link, source := range r.sources {
-		if of(source) {
+		if matches(source) {
 			_ = link.Close()
 		}
 	}
 }
 
-// Silence makes all connections that stand silent for good, without a reset; new ones pass.
-func (r *Relay) Silence() {
+// SilenceOpen makes all connections that stand silent for good, without a reset; new ones pass.
+func (r *Relay) SilenceOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for link := range r.sources {
-		r.silent[link] = true
+		r.silenced[link] = true
 	}
 }
 
-// swallows reports whether bytes of a connection from a source are lost on a way, and how long they take else.
-func (r *Relay) swallows(link net.Conn, source string, way Direction) (bool, time.Duration) {
+// drops reports whether bytes of a connection from a source are lost on a way, and how long they take else.
+func (r *Relay) drops(link net.Conn, source string, direction Direction) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut[source] || r.silent[link] || r.muted&way != 0, r.delay
+	return r.cut[source] || r.silenced[link] || r.dropped&direction != 0, r.delay
 }
 
 // accept serves each connection until the listener is closed.
@@ -166,17 +166,17 @@
 	source, _, _ := net.SplitHostPort(link.RemoteAddr().String())
 	target := r.add(link, source)
 	defer r.remove(link)
-	far, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = link.Close()
 		return
 	}
 	done := make(chan struct{}, 2)
-	go func() { r.copy(far, link, passage{link, source, Towards}); done <- struct{}{} }()
-	go func() { r.copy(link, far, passage{link, source, Back}); done <- struct{}{} }()
+	go func() { r.copy(upstream, link, stream{link, source, ToTarget}); done <- struct{}{} }()
+	go func() { r.copy(link, upstream, stream{link, source, FromTarget}); done <- struct{}{} }()
 	<-done
 	_ = link.Close()
-	_ = far.Close()
+	_ = upstream.Close()
 	<-done
 }
 
@@ -193,23 +193,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.sources, link)
-	delete(r.silent, link)
+	delete(r.silenced, link)
 }
 
-// passage is one way through a relay, of a connection from a source.
-type passage struct {
-	link   net.Conn
-	source string
-	way    Direction
+// stream is one way through a relay, of a connection from a source.
+type stream struct {
+	link      net.Conn
+	source    string
+	direction Direction
 }
 
 // copy passes bytes on, late where the relay is slow; while they are to be lost it swallows them.
-func (r *Relay) copy(to io.Writer, from io.Reader, p passage) {
+func (r *Relay) copy(to io.Writer, from io.Reader, p stream) {
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		lost, delay := r.swallows(p.link, p.source, p.way)
-		if n > 0 && !lost {
+		drop, delay := r.drops(p.link, p.source, p.direction)
+		if n > 0 && !drop {
 			<-time.After(delay)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
--- a/proving/stage/api.go
+++ b/proving/stage/api.go
@@ -25,11 +25,11 @@
 	for _, block := range blocks(string(page)) {
 		switch block.kind {
 		case "http":
-			status, answer, err = s.playExample(address, strings.ReplaceAll(block.text, "$JOB", job))
+			status, answer, err = s.runExample(address, strings.ReplaceAll(block.text, "$JOB", job))
 			if err != nil {
 				return "", err
 			}
-			job = jobOf(answer, job)
+			job = jobIDOf(answer, job)
 		case "answer":
 			examples++
 			if err := checkExample(block.text, status, answer); err != nil {
@@ -57,7 +57,7 @@
 	return found
 }
 
-func (s *Stage) playExample(address, text string) (int, []byte, error) {
+func (s *Stage) runExample(address, text string) (int, []byte, error) {
 	head, body, _ := strings.Cut(text, "\n\n")
 	lines := strings.Split(strings.TrimSpace(head), "\n")
 	method, path, _ := strings.Cut(lines[0], " ")
@@ -70,12 +70,12 @@
 	return status, answer, err
 }
 
-func jobOf(answer []byte, otherwise string) string {
+func jobIDOf(answer []byte, fallback string) string {
 	var job struct {
 		ID string `json:"id"`
 	}
 	if json.Unmarshal(answer, &job) != nil || job.ID == "" {
-		return otherwise
+		return fallback
 	}
 	return job.ID
 }
--- a/proving/stage/await.go
+++ b/proving/stage/await.go
@@ -34,7 +34,7 @@
 
 // awaitReady waits until each entry is ready and knows all workers.
 func (s *Stage) awaitReady(workers int) error {
-	return eventually(awaitLimit, func() error {
+	return eventually(awaitTimeout, func() error {
 		for name, p := range s.processes {
 			if !strings.HasPrefix(name, "e") || !p.isRunning() {
 				continue
@@ -47,7 +47,7 @@
 			if err != nil || status != http.StatusOK {
 				return fmt.Errorf("%s is not ready: %d %w", name, status, err)
 			}
-			if err := s.knowsWorkers(name, workers); err != nil {
+			if err := s.checkWorkerCount(name, workers); err != nil {
 				return err
 			}
 		}
@@ -55,7 +55,7 @@
 	})
 }
 
-func (s *Stage) knowsWorkers(entry string, workers int) error {
+func (s *Stage) checkWorkerCount(entry string, workers int) error {
 	r, err := s.region(entry)
 	if err != nil {
 		return err
@@ -79,42 +79,42 @@
 // lead ENTRY [not=AGENT] | worker INSTANCE ENTRY STATE | ready N | table ENTRY VERSION | executed BODY N.
 func (s *Stage) awaitVerb(args []string) (string, error) {
 	values, rest := options(args)
-	limit := awaitLimit
+	limit := awaitTimeout
 	if d, err := time.ParseDuration(values["within"]); err == nil {
 		limit = d
 	}
 	began := time.Now()
-	err := eventually(limit, func() error { return s.holds(rest, values) })
+	err := eventually(limit, func() error { return s.checkState(rest, values) })
 	return fmt.Sprintf("after %d ms", time.Since(began).Milliseconds()), err
 }
 
-func (s *Stage) holds(rest []string, values map[string]string) error {
+func (s *Stage) checkState(rest []string, values map[string]string) error {
 	switch rest[0] {
 	case "job", "evictions", "placed":
-		return s.jobHolds(rest)
+		return s.checkJob(rest)
 	case "ready":
-		return s.awaitReady(number(map[string]string{"n": rest[1]}, "n", 0))
+		return s.awaitReady(intOption(map[string]string{"n": rest[1]}, "n", 0))
 	case "executed":
-		return s.executedHolds(rest[1], rest[2])
+		return s.checkExecuted(rest[1], rest[2])
 	}
 	entries := s.entries()
 	if rest[0] != "running" {
-		entries = []string{entryOf(rest)}
+		entries = []string{entryToQuery(rest)}
 	}
 	for _, entry := range entries {
 		r, err := s.region(entry)
 		if err != nil {
 			return err
 		}
-		if err := r.holds(rest, values); err != nil {
+		if err := r.check(rest, values); err != nil {
 			return fmt.Errorf("%s: %w", entry, err)
 		}
 	}
 	return nil
 }
 
-// entryOf is the entry that is asked for a state.
-func entryOf(rest []string) string {
+// entryToQuery is the entry that is asked for a state.
+func entryToQuery(rest []string) string {
 	if rest[0] == "lead" || rest[0] == "table" {
 		return rest[1]
 	}
@@ -132,15 +132,15 @@
 	return names
 }
 
-func (s *Stage) executedHolds(body, want string) error {
-	_, executed, _, err := s.allBooks()
+func (s *Stage) checkExecuted(body, want string) error {
+	_, executed, _, err := s.allHistories()
 	if err == nil && strconv.Itoa(executed[body]) != want {
 		err = fmt.Errorf("%q was run %d times", body, executed[body])
 	}
 	return err
 }
 
-func (s *Stage) jobHolds(rest []string) error {
+func (s *Stage) checkJob(rest []string) error {
 	state, err := s.job(rest[1], rest[2])
 	if err != nil {
 		return err
@@ -158,29 +158,29 @@
 	return nil
 }
 
-func (r *region) holds(rest []string, values map[string]string) error {
+func (r *region) check(rest []string, values map[string]string) error {
 	switch rest[0] {
 	case "lead":
-		return r.leadHolds(values["not"])
+		return r.checkLeader(values["not"])
 	case "table":
-		return r.tableHolds(rest[2])
+		return r.checkTable(rest[2])
 	case "running":
-		return r.runningHolds(rest[1], rest[3])
+		return r.checkRunning(rest[1], rest[3])
 	case "worker":
-		return r.workerHolds(rest[1], rest[3])
+		return r.checkWorker(rest[1], rest[3])
 	default:
 		return fmt.Errorf("nothing is known of %s", rest[0])
 	}
 }
 
-func (r *region) leadHolds(not string) error {
-	if len(r.Cells) == 0 || len(r.Unreachable) > 0 || r.Cells[0].Leader == not {
+func (r *region) checkLeader(excluded string) error {
+	if len(r.Cells) == 0 || len(r.Unreachable) > 0 || r.Cells[0].Leader == excluded {
 		return fmt.Errorf("no new lead yet: %v", r.Unreachable)
 	}
 	return nil
 }
 
-func (r *region) tableHolds(version string) error {
+func (r *region) checkTable(version string) error {
 	for _, cell := range r.Cells {
 		if strconv.FormatUint(cell.TableVersion, 10) != version {
 			return fmt.Errorf("cell %s has version %d", cell.Cell, cell.TableVersion)
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (r *region) runningHolds(service, want string) error {
+func (r *region) checkRunning(service, want string) error {
 	running := 0
 	for _, cell := range r.Cells {
 		for _, v := range cell.Services {
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func (r *region) workerHolds(instance, want string) error {
+func (r *region) checkWorker(instance, want string) error {
 	for _, cell := range r.Cells {
 		for _, w := range cell.Workers {
 			if w.Instance == instance && w.State == want {
--- a/proving/stage/history.go
+++ b/proving/stage/history.go
@@ -10,76 +10,76 @@
 	"github.com/saffronpulley/saffronpulley/proving/platform"
 )
 
-// deadWorker is the books of a worker at the moment it was ended.
-type deadWorker struct {
-	books platform.Books
-	at    int64
+// endedWorker is the books of a worker at the moment it was ended.
+type endedWorker struct {
+	history platform.WorkerHistory
+	endedAt int64
 }
 
-func (s *Stage) books(name string) (platform.Books, error) {
-	var books platform.Books
+func (s *Stage) history(name string) (platform.WorkerHistory, error) {
+	var history platform.WorkerHistory
 	address, err := s.address(name, "listening")
 	if err != nil {
-		return books, err
+		return history, err
 	}
 	status, body, _, err := s.post("GET", "http://"+address+"/control/books", nil, nil)
 	if err != nil || status != 200 {
-		return books, fmt.Errorf("the books of %s cannot be read: %d %w", name, status, err)
+		return history, fmt.Errorf("the books of %s cannot be read: %d %w", name, status, err)
 	}
-	return books, json.Unmarshal(body, &books)
+	return history, json.Unmarshal(body, &history)
 }
 
-// bury keeps the books of a worker that is about to be ended.
-func (s *Stage) bury(name string) error {
-	books, err := s.books(name)
+// saveHistory keeps the books of a worker that is about to be ended.
+func (s *Stage) saveHistory(name string) error {
+	history, err := s.history(name)
 	if err != nil {
 		return err
 	}
-	s.buried = append(s.buried, deadWorker{books: books, at: time.Now().UnixMilli()})
+	s.endedWorkers = append(s.endedWorkers, endedWorker{history: history, endedAt: time.Now().UnixMilli()})
 	return nil
 }
 
-// allBooks returns the spans of all workers, dead ones closed at their death, with what was executed how often.
-func (s *Stage) allBooks() ([]platform.Span, map[string]int, int, error) {
+// allHistories returns the spans of all workers, dead ones closed at their death, with what was executed how often.
+func (s *Stage) allHistories() ([]platform.Span, map[string]int, int, error) {
 	var spans []platform.Span
 	executed := make(map[string]int)
-	over := 0
-	add := func(books platform.Books) {
-		spans = append(spans, books.Spans...)
-		over += books.Over
-		for body, n := range books.Executed {
+	overcommitted := 0
+	add := func(history platform.WorkerHistory) {
+		spans = append(spans, history.Spans...)
+		overcommitted += history.Overcommitted
+		for body, n := range history.Executed {
 			executed[body] += n
 		}
 	}
-	for _, dead := range s.buried {
-		for i := range dead.books.Spans {
-			if dead.books.Spans[i].Until == 0 {
-				dead.books.Spans[i].Until = dead.at
+	for _, dead := range s.endedWorkers {
+		for i := range dead.history.Spans {
+			if dead.history.Spans[i].Until == 0 {
+				dead.history.Spans[i].Until = dead.endedAt
 			}
 		}
-		add(dead.books)
+		add(dead.history)
 	}
 	for name, p := range s.processes {
 		if !strings.HasPrefix(name, "w") || !p.isRunning() {
 			continue
 		}
-		books, err := s.books(name)
+		books, err := s.history(name)
 		if err != nil {
 			return nil, nil, 0, err
 		}
 		add(books)
 	}
-	return spans, executed, over, nil
+	return spans, executed, overcommitted, nil
 }
 
-// checkBooks judges the promises by the books of the workers.
-func (s *Stage) checkBooks() error {
-	spans, _, over, err := s.allBooks()
+// checkHistories judges the promises by the books of the workers.
+func (s *Stage) checkHistories() error {
+	spans, _, overcommitted, err := s.allHistories()
 	if err != nil {
 		return err
 	}
-	if over > 0 {
-		return fmt.Errorf("a VM was committed beyond what it has %d times", over)
+	if overcommitted > 0 {
+		return fmt.Errorf("a VM was committed beyond what it has %d times", overcommitted)
 	}
 	byTask := make(map[string][]platform.Span)
 	for _, span := range spans {
@@ -97,16 +97,16 @@
 
 // checkTask checks that a task never ran in two places, that each run started once, and that it finished once.
 func checkTask(key string, spans []platform.Span) error {
-	seen := make(map[uint64]bool)
+	started := make(map[uint64]bool)
 	finished := 0
 	for i, span := range spans {
 		if i > 0 && (spans[i-1].Until == 0 || spans[i-1].Until > span.From) {
 			return fmt.Errorf("task %s ran in two places: %+v and %+v", key, spans[i-1], span)
 		}
-		if seen[span.Run.Incarnation] {
+		if started[span.Run.Incarnation] {
 			return fmt.Errorf("task %s started twice as run %d", key, span.Run.Incarnation)
 		}
-		seen[span.Run.Incarnation] = true
+		started[span.Run.Incarnation] = true
 		if i > 0 && spans[i-1].State == "checkpointed" && span.Start < spans[i-1].End-1e-6 {
 			return fmt.Errorf("task %s did not resume from its checkpoint: %+v after %+v", key, span, spans[i-1])
 		}
--- a/proving/stage/load.go
+++ b/proving/stage/load.go
@@ -12,11 +12,11 @@
 	quit chan struct{}
 	done sync.WaitGroup
 
-	mu      sync.Mutex
-	sent    int
-	results map[string]int
-	slowest time.Duration
-	first   string
+	mu           sync.Mutex
+	sent         int
+	results      map[string]int
+	slowest      time.Duration
+	firstFailure string
 }
 
 func (l *load) stop() {
@@ -51,7 +51,7 @@
 			case <-l.quit:
 				return
 			case <-ticker.C:
-				l.done.Go(func() { s.sendOne(l, balancer.order(urls, n), name+"-"+strconv.Itoa(n), headers) })
+				l.done.Go(func() { s.sendRequest(l, balancer.order(urls, n), name+"-"+strconv.Itoa(n), headers) })
 			}
 		}
 	})
@@ -80,7 +80,7 @@
 	return append(ready, rest...)
 }
 
-const readyPoll = 50 * time.Millisecond
+const readyInterval = 50 * time.Millisecond
 
 // watchReady asks an entry whether it is ready; its address may change when it is started anew.
 func (s *Stage) watchReady(l *load, b *balancer, entry, url string) {
@@ -93,13 +93,13 @@
 		select {
 		case <-l.quit:
 			return
-		case <-time.After(readyPoll):
+		case <-time.After(readyInterval):
 		}
 	}
 }
 
-// sendOne sends a request, to the next entry where one refuses connections as the balancer would.
-func (s *Stage) sendOne(l *load, urls []string, body string, headers map[string]string) {
+// sendRequest sends a request, to the next entry where one refuses connections as the balancer would.
+func (s *Stage) sendRequest(l *load, urls []string, body string, headers map[string]string) {
 	began := time.Now()
 	var result string
 	for _, url := range urls {
@@ -115,7 +115,7 @@
 		case status == 200:
 			result = "200"
 		default:
-			result = kindOf(answer)
+			result = errorKind(answer)
 		}
 		break
 	}
@@ -123,8 +123,8 @@
 	defer l.mu.Unlock()
 	l.sent++
 	l.results[result]++
-	if result != "200" && l.first == "" {
-		l.first = result
+	if result != "200" && l.firstFailure == "" {
+		l.firstFailure = result
 	}
 	l.slowest = max(l.slowest, time.Since(began))
 }
--- a/proving/stage/stage.go
+++ b/proving/stage/stage.go
@@ -23,15 +23,15 @@
 	dir      string
 	client   *http.Client
 
-	mu        sync.Mutex
-	processes map[string]*Process
-	relays    map[string]*relay.Relay
-	sources   map[string]string
-	jobs      map[string]string
-	loads     map[string]*load
-	buried    []deadWorker
-	extra     map[string]string
-	direct    bool
+	mu            sync.Mutex
+	processes     map[string]*Process
+	relays        map[string]*relay.Relay
+	sources       map[string]string
+	jobs          map[string]string
+	loads         map[string]*load
+	endedWorkers  []endedWorker
+	extraSettings map[string]string
+	noRelays      bool
 }
 
 // Secret is what the processes of a stage share.
@@ -43,12 +43,12 @@
 		binaries: binaries, dir: dir,
 		client:    &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		processes: make(map[string]*Process), relays: make(map[string]*relay.Relay), sources: make(map[string]string),
-		jobs: make(map[string]string), loads: make(map[string]*load), extra: make(map[string]string),
+		jobs: make(map[string]string), loads: make(map[string]*load), extraSettings: make(map[string]string),
 	}
 }
 
-// Direct leaves the relays out, so that nothing stands between the processes that are measured.
-func (s *Stage) Direct() { s.direct = true }
+// DisableRelays leaves the relays out, so that nothing stands between the processes that are measured.
+func (s *Stage) DisableRelays() { s.noRelays = true }
 
 // Do plays a verb of the scenarios.
 func (s *Stage) Do(name string, args ...string) (string, error) {
@@ -128,7 +128,7 @@
 func (s *Stage) relay(name, listener, target string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.direct {
+	if s.noRelays {
 		return s.processes[name].addresses[listener], nil
 	}
 	key := name + "/" + listener
@@ -158,7 +158,7 @@
 }
 
 // defineDaemon writes the settings of a daemon; they hold for each of its starts.
-func (s *Stage) defineDaemon(name string, own map[string]string) error {
+func (s *Stage) defineDaemon(name string, settings map[string]string) error {
 	s.mu.Lock()
 	source := "127.0.1." + strconv.Itoa(len(s.sources)+1)
 	s.sources[name] = source
@@ -176,19 +176,19 @@
 			return err
 		}
 	}
-	for _, overrides := range []map[string]string{own, s.extra} {
+	for _, overrides := range []map[string]string{settings, s.extraSettings} {
 		for key, value := range overrides {
 			values[key] = value
 		}
 	}
 	listeners := []string{"requests", "control"}
-	if own["role"] == "entry" {
+	if settings["role"] == "entry" {
 		listeners = []string{"peers"}
 		values["listen.callers"] = "127.0.0.1:0"
 	}
 	for _, listener := range listeners {
 		values["listen."+listener] = "127.0.0.1:0"
-		if s.direct {
+		if s.noRelays {
 			continue
 		}
 		if values["advertise."+listener], err = s.relay(name, listener, "127.0.0.1:1"); err != nil {
@@ -282,10 +282,10 @@
 }
 
 // eventually tries until there is no error or the time is over.
-func eventually(limit time.Duration, try func() error) error {
+func eventually(limit time.Duration, attempt func() error) error {
 	end := time.Now().Add(limit)
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return nil
 		}
--- a/proving/stage/verbs.go
+++ b/proving/stage/verbs.go
@@ -88,8 +88,8 @@
 		ts.Setenv("SAFFRONPULLEY_ENTRIES", s.adminAddresses())
 		switch {
 		case err != nil && !neg:
-			if keep := os.Getenv("STAGE_LOGS"); keep != "" {
-				_ = os.WriteFile(keep, []byte(s.Logs()), 0o600)
+			if path := os.Getenv("STAGE_LOGS"); path != "" {
+				_ = os.WriteFile(path, []byte(s.Logs()), 0o600)
 			}
 			ts.Fatalf("%v", err)
 		case err == nil && neg:
@@ -123,11 +123,11 @@
 	return values, rest
 }
 
-func number(values map[string]string, key string, otherwise int) int {
+func intOption(values map[string]string, key string, fallback int) int {
 	if n, err := strconv.Atoi(values[key]); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
 // cluster starts a store, a list, workers, agents and entries, and waits until they are ready.
@@ -137,21 +137,21 @@
 	values, _ := options(args)
 	for key, value := range values {
 		if setting, ok := strings.CutPrefix(key, "set."); ok {
-			s.extra[setting] = value
+			s.extraSettings[setting] = value
 		}
 	}
 	if err := errors.Join(s.startStandin("store", "store"), s.startStandin("vms", "vms")); err != nil {
 		return "", err
 	}
-	workers, entries := number(values, "workers", 3), number(values, "entries", 2)
+	workers, entries := intOption(values, "workers", 3), intOption(values, "entries", 2)
 	for i := 1; i <= workers; i++ {
-		if err := s.addWorker(strconv.Itoa(i), 1+(i-1)/number(values, "racks", 3), values); err != nil {
+		if err := s.addWorker(strconv.Itoa(i), 1+(i-1)/intOption(values, "racks", 3), values); err != nil {
 			return "", err
 		}
 	}
 	for i := 1; i <= entries; i++ {
 		name := "e" + strconv.Itoa(i)
-		if err := s.defineDaemon(name, map[string]string{"role": "entry", "hall": hall(values)}); err != nil {
+		if err := s.defineDaemon(name, map[string]string{"role": "entry", "hall": hallOption(values)}); err != nil {
 			return "", err
 		}
 		if err := s.start(name); err != nil {
@@ -161,7 +161,7 @@
 	return fmt.Sprintf("%d processes run", len(s.processes)), s.awaitReady(workers)
 }
 
-func hall(values map[string]string) string {
+func hallOption(values map[string]string) string {
 	if h, ok := values["hall"]; ok {
 		return h
 	}
@@ -179,12 +179,12 @@
 	if err := s.startStandin("w"+number, args...); err != nil {
 		return err
 	}
-	if _, err := s.setLine("vm-"+number, hall(values), rack, "live"); err != nil {
+	if _, err := s.setVM("vm-"+number, hallOption(values), rack, "live"); err != nil {
 		return err
 	}
 	address, _ := s.relay("w"+number, "listening", "")
 	err := s.defineDaemon("a"+number, map[string]string{
-		"role": "agent", "hall": hall(values), "rack": strconv.Itoa(rack), "worker.address": address,
+		"role": "agent", "hall": hallOption(values), "rack": strconv.Itoa(rack), "worker.address": address,
 	})
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 	return s.start("a" + number)
 }
 
-func (s *Stage) setLine(instance, hall string, rack int, state string) (string, error) {
+func (s *Stage) setVM(instance, hall string, rack int, state string) (string, error) {
 	address, err := s.address("vms", "listening")
 	if err != nil {
 		return "", err
@@ -208,14 +208,14 @@
 // listVerb sets a line of the list: INSTANCE STATE [hall=NAME] [rack=N].
 func (s *Stage) listVerb(args []string) (string, error) {
 	values, rest := options(args)
-	return s.setLine(rest[0], hall(values), number(values, "rack", 1), rest[1])
+	return s.setVM(rest[0], hallOption(values), intOption(values, "rack", 1), rest[1])
 }
 
 func (s *Stage) startVerb(args []string) (string, error) {
-	return "", eachOf(args, s.start)
+	return "", forEach(args, s.start)
 }
 
-func eachOf(names []string, do func(string) error) error {
+func forEach(names []string, do func(string) error) error {
 	for _, name := range names {
 		if err := do(name); err != nil {
 			return err
@@ -226,13 +226,13 @@
 
 // crashVerb ends processes at once; a worker's books are kept.
 func (s *Stage) crashVerb(args []string) (string, error) {
-	return "", eachOf(args, func(name string) error {
+	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
 		if err != nil {
 			return err
 		}
 		if strings.HasPrefix(name, "w") {
-			if err := s.bury(name); err != nil {
+			if err := s.saveHistory(name); err != nil {
 				return err
 			}
 		}
@@ -246,7 +246,7 @@
 
 // termVerb stops processes in good order and waits for their end.
 func (s *Stage) termVerb(args []string) (string, error) {
-	return "", eachOf(args, func(name string) error {
+	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
 		if err != nil {
 			return err
@@ -271,7 +271,7 @@
 func (s *Stage) thawVerb(args []string) (string, error) { return s.signalAll(args, syscall.SIGCONT) }
 
 func (s *Stage) signalAll(args []string, signal syscall.Signal) (string, error) {
-	return "", eachOf(args, func(name string) error {
+	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
 		if err != nil {
 			return err
--- a/proving/stage/work.go
+++ b/proving/stage/work.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const awaitLimit = 30 * time.Second
+const awaitTimeout = 30 * time.Second
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
@@ -24,7 +24,7 @@
 	} `json:"error"`
 }
 
-func kindOf(answer []byte) string {
+func errorKind(answer []byte) string {
 	var e errorBody
 	if json.Unmarshal(answer, &e) != nil || e.Error.Kind == "" {
 		return "unreadable answer"
@@ -51,7 +51,7 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d %s", status, answer), judge(values, status, answer, answered, took)
+	return fmt.Sprintf("%d %s", status, answer), checkAnswer(values, status, answer, answered, took)
 }
 
 // raceVerb sends a request with one key through several entries at once, all of which must get its answer:
@@ -73,23 +73,23 @@
 
 // idleVerb checks that a worker runs no request for a time: NAME D.
 func (s *Stage) idleVerb(args []string) (string, error) {
-	before, err := s.requestsOf(args[0])
+	before, err := s.requestCount(args[0])
 	if err != nil {
 		return "", err
 	}
 	if _, err := s.pauseVerb(args[1:]); err != nil {
 		return "", err
 	}
-	after, err := s.requestsOf(args[0])
+	after, err := s.requestCount(args[0])
 	if err == nil && after != before {
 		err = fmt.Errorf("%s ran %d requests", args[0], after-before)
 	}
 	return fmt.Sprintf("%s ran %d requests before", args[0], before), err
 }
 
-// requestsOf is how many requests a worker has run.
-func (s *Stage) requestsOf(name string) (int, error) {
-	books, err := s.books(name)
+// requestCount is how many requests a worker has run.
+func (s *Stage) requestCount(name string) (int, error) {
+	books, err := s.history(name)
 	total := 0
 	for _, n := range books.Executed {
 		total += n
@@ -97,15 +97,15 @@
 	return total, err
 }
 
-// judge checks an answer against what was wanted; each refusal that asks to return must say when.
-func judge(values map[string]string, status int, answer []byte, headers http.Header, took time.Duration) error {
+// checkAnswer checks an answer against what was wanted; each refusal that asks to return must say when.
+func checkAnswer(values map[string]string, status int, answer []byte, headers http.Header, took time.Duration) error {
 	want := values["want"]
 	if want == "" {
 		want = "200"
 	}
 	got := "200"
 	if status != http.StatusOK {
-		got = kindOf(answer)
+		got = errorKind(answer)
 	}
 	if !slices.Contains(strings.Split(want, ","), got) {
 		return fmt.Errorf("the answer is %s, not %s: %s", got, want, answer)
@@ -116,7 +116,7 @@
 	if status == http.StatusTooManyRequests && headers.Get("Retry-After") == "" {
 		return errors.New("the refusal does not say when to return")
 	}
-	if limit := number(values, "within", 0); limit > 0 && took > time.Duration(limit)*time.Millisecond {
+	if limit := intOption(values, "within", 0); limit > 0 && took > time.Duration(limit)*time.Millisecond {
 		return fmt.Errorf("the answer took %s", took)
 	}
 	return nil
@@ -138,7 +138,7 @@
 		return "", err
 	}
 	if want, ok := values["want"]; ok && want != "accepted" {
-		if kind := kindOf(answer); !slices.Contains(strings.Split(want, ","), kind) {
+		if kind := errorKind(answer); !slices.Contains(strings.Split(want, ","), kind) {
 			return "", fmt.Errorf("the answer is %s, not %s: %s", kind, want, answer)
 		}
 		return string(answer), nil
@@ -160,7 +160,7 @@
 func (s *Stage) postJob(url, body string, retry bool) (int, []byte, error) {
 	var status int
 	var answer []byte
-	err := eventually(awaitLimit, func() error {
+	err := eventually(awaitTimeout, func() error {
 		var err error
 		status, answer, _, err = s.post("POST", url, []byte(body), nil)
 		if err == nil && retry && status == http.StatusServiceUnavailable {
@@ -217,7 +217,7 @@
 	if deadline, ok := values["deadline"]; ok {
 		headers["X-Deadline-Ms"] = deadline
 	}
-	return "", s.startLoad(rest[0], rest[1], rest[2:], number(values, "rate", 100), headers)
+	return "", s.startLoad(rest[0], rest[1], rest[2:], intOption(values, "rate", 100), headers)
 }
 
 // unloadVerb ends a load and judges it: NAME [failed=N at most] [atleast=N answered].
@@ -229,10 +229,10 @@
 	}
 	l.stop()
 	answered := l.results["200"]
-	if allowed, given := values["failed"]; given && l.sent-answered > number(values, "failed", 0) {
+	if allowed, given := values["failed"]; given && l.sent-answered > intOption(values, "failed", 0) {
 		return "", fmt.Errorf("more than %s requests failed: %s", allowed, l.summary())
 	}
-	if answered < number(values, "atleast", 1) {
+	if answered < intOption(values, "atleast", 1) {
 		return "", fmt.Errorf("too few requests were answered: %s", l.summary())
 	}
 	if l.results["wrong answer"] > 0 {
@@ -243,17 +243,17 @@
 
 // booksVerb judges by the workers' books, and with executed=BODY:N how often a request ran; times=BODY:N is at most N.
 func (s *Stage) booksVerb(args []string) (string, error) {
-	if err := s.checkBooks(); err != nil {
+	if err := s.checkHistories(); err != nil {
 		return "", err
 	}
-	spans, executed, _, err := s.allBooks()
+	spans, executed, _, err := s.allHistories()
 	if err != nil {
 		return "", err
 	}
 	values, _ := options(args)
 	for key, value := range values {
 		body, count, _ := strings.Cut(value, ":")
-		want := number(map[string]string{"n": count}, "n", 0)
+		want := intOption(map[string]string{"n": count}, "n", 0)
 		if key == "spans" && strconv.Itoa(len(spans)) != value {
 			return "", fmt.Errorf("the books hold %d runs, not %s", len(spans), value)
 		}
