--- a/proving/cmd/bench/lateness.go
+++ b/proving/cmd/bench/lateness.go
@@ -15,14 +15,14 @@
 	if err != nil {
 		return err
 	}
-	breakdowns, err := lateness.Read(bytes.NewReader(log))
+	stats, err := lateness.Read(bytes.NewReader(log))
 	if err != nil {
 		return err
 	}
 	const padding = 2
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, padding, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "queue\toutcome\tjobs\tobjective\ttook\twaiting\tagain\trunning\t")
-	for _, s := range breakdowns {
+	for _, s := range stats {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", s.Queue, s.Outcome, s.Jobs,
 			s.Objective.Seconds(), s.Elapsed.Seconds(), s.Waiting.Seconds(), s.Retrying.Seconds(), s.Running.Seconds())
 	}
--- a/proving/cmd/bench/path.go
+++ b/proving/cmd/bench/path.go
@@ -20,7 +20,7 @@
 
 const (
 	pathConnections = 64
-	pathDuration    = 5 * time.Second
+	pathTime        = 5 * time.Second
 	pathInterval    = 100 * time.Millisecond
 	pathTable       = `workload,kind,team,processors,memory_mb,replicas,target_ms,concurrency,queue
 lookups,service,federacion,4,8000,1,1000,8,56
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nrequest path, %d connections, %s each, 64-byte bodies\n\n", pathConnections, pathDuration)
+	fmt.Printf("\nrequest path, %d connections, %s each, 64-byte bodies\n\n", pathConnections, pathTime)
 	fmt.Println("| what | requests/s | p50 us | p99 us | cores of entry | cores of agent |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	through := "http://" + s.Address("e1", "callers") + "/v1/services/lookups"
@@ -135,7 +135,7 @@
 	total := hdrhistogram.New(1, 60_000_000, 3)
 	failed := 0
 	before := cpuTimes(s.Processes())
-	end := time.Now().Add(pathDuration)
+	end := time.Now().Add(pathTime)
 	var senders sync.WaitGroup
 	for i := range pathConnections {
 		senders.Go(func() {
@@ -150,10 +150,8 @@
 	}
 	senders.Wait()
 	after := cpuTimes(s.Processes())
-	cores := func(process string) float64 {
-		return (after[process] - before[process]).Seconds() / pathDuration.Seconds()
-	}
-	fmt.Printf("| %s | %.0f | %d | %d | %.2f | %.2f |\n", name, float64(total.TotalCount())/pathDuration.Seconds(),
+	cores := func(process string) float64 { return (after[process] - before[process]).Seconds() / pathTime.Seconds() }
+	fmt.Printf("| %s | %.0f | %d | %d | %.2f | %.2f |\n", name, float64(total.TotalCount())/pathTime.Seconds(),
 		total.ValueAtQuantile(50), total.ValueAtQuantile(99), cores("e1"), cores("a1"))
 	if failed > 0 {
 		fmt.Printf("| %s: %d requests failed | | | | | |\n", name, failed)
--- a/proving/fleet/answer.go
+++ b/proving/fleet/answer.go
@@ -21,8 +21,8 @@
 }
 
 // answerOrder answers an order, with the reason where it is refused.
-func answerOrder(ctx *fasthttp.RequestCtx, l *incarnation, reason string) {
-	body := map[string]any{"clock-ms": l.clock()}
+func answerOrder(ctx *fasthttp.RequestCtx, inc *incarnation, reason string) {
+	body := map[string]any{"clock-ms": inc.clock()}
 	if reason != "" {
 		body["reason"] = reason
 		ctx.SetStatusCode(fasthttp.StatusConflict)
--- a/proving/fleet/checker.go
+++ b/proving/fleet/checker.go
@@ -62,114 +62,114 @@
 	}
 }
 
-// recordViolation notes a broken promise; b.mu is held.
-func (b *Checker) recordViolation(format string, args ...any) {
-	b.violations = append(b.violations, fmt.Sprintf(format, args...))
+// recordViolation notes a broken promise; c.mu is held.
+func (c *Checker) recordViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // recordHarnessError notes that the stand-ins failed.
-func (b *Checker) recordHarnessError(context string, err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.recordViolation("%s: %v", context, err)
+func (c *Checker) recordHarnessError(context string, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordViolation("%s: %v", context, err)
 }
 
-// task returns what became of a task; b.mu is held.
-func (b *Checker) task(id job.TaskID) *taskRecord {
-	h := b.tasks[id]
+// task returns what became of a task; c.mu is held.
+func (c *Checker) task(id job.TaskID) *taskRecord {
+	h := c.tasks[id]
 	if h == nil {
 		h = &taskRecord{running: make(map[string]int)}
-		b.tasks[id] = h
+		c.tasks[id] = h
 	}
 	return h
 }
 
 // RecordJob notes a job that is about to be handed in.
-func (b *Checker) RecordJob(id job.ID, spec job.Spec) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.jobs[id] == nil {
-		b.jobs[id] = &jobRecord{spec: spec}
+func (c *Checker) RecordJob(id job.ID, spec job.Spec) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.jobs[id] == nil {
+		c.jobs[id] = &jobRecord{spec: spec}
 	}
 }
 
 // RecordAttempt notes that an attempt to hand a job in begins.
-func (b *Checker) RecordAttempt(id job.ID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.jobs[id].inFlight++
+func (c *Checker) RecordAttempt(id job.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id].inFlight++
 }
 
 // RecordAnswer notes how an attempt to hand a job in ended: accepted, surely refused, or neither.
-func (b *Checker) RecordAnswer(id job.ID, accepted, refused bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.jobs[id]
+func (c *Checker) RecordAnswer(id job.ID, accepted, refused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.jobs[id]
 	e.inFlight--
 	e.accepted = e.accepted || accepted
 	e.outcomeUnknown = e.outcomeUnknown || !accepted && !refused
 }
 
 // RecordCancelRequest notes that the cancelation of a job is asked for.
-func (b *Checker) RecordCancelRequest(id job.ID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.jobs[id].cancelRequested = true
+func (c *Checker) RecordCancelRequest(id job.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id].cancelRequested = true
 }
 
 // RecordCancellation notes that the cancelation of a job was acknowledged.
-func (b *Checker) RecordCancellation(id job.ID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.jobs[id]; e.canceledAt.IsZero() {
+func (c *Checker) RecordCancellation(id job.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if e := c.jobs[id]; e.canceledAt.IsZero() {
 		e.canceledAt = time.Now()
 	}
 }
 
 // RecordClosure notes that a hall was closed, or opened again, or that this failed.
-func (b *Checker) RecordClosure(hall string, closed bool, err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Checker) RecordClosure(hall string, closed bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case err != nil:
-		b.recordViolation("hall %s could not be closed or opened: %v", hall, err)
+		c.recordViolation("hall %s could not be closed or opened: %v", hall, err)
 	case closed:
-		b.closedAt[hall] = time.Now()
+		c.closedAt[hall] = time.Now()
 	default:
-		delete(b.closedAt, hall)
+		delete(c.closedAt, hall)
 	}
 }
 
-// checkHall judges a start by the hall in which it happens; b.mu is held.
-func (b *Checker) checkHall(id job.TaskID, hall string) {
-	if since, closed := b.closedAt[hall]; closed && time.Since(since) > closureGrace {
-		b.recordViolation("%s was started in hall %s %v after that was closed", id, hall, time.Since(since))
+// checkHall judges a start by the hall in which it happens; c.mu is held.
+func (c *Checker) checkHall(id job.TaskID, hall string) {
+	if since, closed := c.closedAt[hall]; closed && time.Since(since) > closureGrace {
+		c.recordViolation("%s was started in hall %s %v after that was closed", id, hall, time.Since(since))
 	}
 }
 
 // RecordState notes the state of a job that a caller was told; gone says that the job is not known.
-func (b *Checker) RecordState(id job.ID, state job.State, unknown bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.jobs[id]
+func (c *Checker) RecordState(id job.ID, state job.State, unknown bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.jobs[id]
 	switch {
 	case unknown && e.accepted && e.canceledAt.IsZero():
-		b.recordViolation("job %s was accepted and is not known", id)
+		c.recordViolation("job %s was accepted and is not known", id)
 	case unknown:
-	case state == job.Failed && !b.mayFail(id, e):
-		b.recordViolation("job %s is shown as failed though no two workers crashed under a task of it", id)
-	case state == job.Completed && !b.allDone(id, e):
-		b.recordViolation("job %s is shown as completed though tasks are not done", id)
+	case state == job.Failed && !c.mayFail(id, e):
+		c.recordViolation("job %s is shown as failed though no two workers crashed under a task of it", id)
+	case state == job.Completed && !c.allDone(id, e):
+		c.recordViolation("job %s is shown as completed though tasks are not done", id)
 	default:
 		e.lastState = state
 	}
 }
 
-// allDone reports whether each task of a job was done at least once; b.mu is held.
-func (b *Checker) allDone(id job.ID, e *jobRecord) bool {
+// allDone reports whether each task of a job was done at least once; c.mu is held.
+func (c *Checker) allDone(id job.ID, e *jobRecord) bool {
 	for n, step := range e.spec.Steps {
 		for i := range step.Count {
-			if b.task(job.TaskID{Job: id, Step: n, Index: i}).doneCount == 0 {
+			if c.task(job.TaskID{Job: id, Step: n, Index: i}).doneCount == 0 {
 				return false
 			}
 		}
@@ -183,35 +183,35 @@
 }
 
 // checkStart judges a start that a worker accepted.
-func (b *Checker) checkStart(l *incarnation, hall string, id job.TaskID, run int, text string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	worker := l.key
-	b.startCount++
-	e, h := b.jobs[id.Job], b.task(id)
-	b.checkHall(id, hall)
-	b.checkCrashes(id, h)
+func (c *Checker) checkStart(inc *incarnation, hall string, id job.TaskID, run int, text string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	worker := inc.key
+	c.startCount++
+	e, h := c.jobs[id.Job], c.task(id)
+	c.checkHall(id, hall)
+	c.checkCrashes(id, h)
 	switch {
 	case e == nil || !e.contains(id):
-		b.recordViolation("%s was started, which nobody handed in", id)
+		c.recordViolation("%s was started, which nobody handed in", id)
 		return
 	case e.spec.Text != text:
-		b.recordViolation("%s was started with another text", id)
+		c.recordViolation("%s was started with another text", id)
 	case !e.accepted && !e.outcomeUnknown && e.inFlight == 0:
-		b.recordViolation("%s was started though all attempts to hand it in were refused", id)
+		c.recordViolation("%s was started though all attempts to hand it in were refused", id)
 	case h.acknowledged:
-		b.recordViolation("%s was started after its end was taken note of: run %d on %s", id, run, l)
+		c.recordViolation("%s was started after its end was taken note of: run %d on %s", id, run, inc)
 	case !e.canceledAt.IsZero() && time.Since(e.canceledAt) > cancelGrace:
-		b.recordViolation("%s was started %v after it was canceled", id, time.Since(e.canceledAt))
+		c.recordViolation("%s was started %v after it was canceled", id, time.Since(e.canceledAt))
 	}
 	e.started = true
 	for other, number := range h.running {
-		b.recordViolation("%s runs twice: run %d on %s and run %d on %s", id, number, other, run, l)
+		c.recordViolation("%s runs twice: run %d on %s and run %d on %s", id, number, other, run, inc)
 	}
 	for _, d := range e.spec.Steps[id.Step].DependsOn {
 		for i := range e.spec.Steps[d].Count {
-			if b.task(job.TaskID{Job: id.Job, Step: d, Index: i}).doneCount == 0 {
-				b.recordViolation("%s was started before step %d was done", id, d)
+			if c.task(job.TaskID{Job: id.Job, Step: d, Index: i}).doneCount == 0 {
+				c.recordViolation("%s was started before step %d was done", id, d)
 			}
 		}
 	}
@@ -219,10 +219,10 @@
 }
 
 // step returns the step of a task, how long its tasks work, and whether the job is known.
-func (b *Checker) step(id job.TaskID) (job.Step, time.Duration, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.jobs[id.Job]
+func (c *Checker) step(id job.TaskID) (job.Step, time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.jobs[id.Job]
 	if e == nil || id.Step >= len(e.spec.Steps) {
 		return job.Step{}, 0, false
 	}
@@ -230,10 +230,10 @@
 }
 
 // recordRunEnd notes that a run is no more.
-func (b *Checker) recordRunEnd(worker string, id job.TaskID, done bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h := b.task(id)
+func (c *Checker) recordRunEnd(worker string, id job.TaskID, done bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h := c.task(id)
 	delete(h.running, worker)
 	if done {
 		h.doneCount++
@@ -241,25 +241,25 @@
 }
 
 // recordAcknowledgement notes that the end of a done run was taken note of.
-func (b *Checker) recordAcknowledgement(id job.TaskID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.task(id).acknowledged = true
+func (c *Checker) recordAcknowledgement(id job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.task(id).acknowledged = true
 }
 
 // recordOvercommit notes a start beyond a worker's room.
-func (b *Checker) recordOvercommit(worker string, id job.TaskID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.recordViolation("%s was ordered on %s beyond its room", id, worker)
+func (c *Checker) recordOvercommit(worker string, id job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordViolation("%s was ordered on %s beyond its room", id, worker)
 }
 
 // Unfinished returns the accepted jobs that are neither completed nor given up nor canceled, by what callers saw last.
-func (b *Checker) Unfinished() []job.ID {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Checker) Unfinished() []job.ID {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var unfinished []job.ID
-	for id, e := range b.jobs {
+	for id, e := range c.jobs {
 		canceled := e.cancelRequested && e.lastState == job.Canceled
 		if e.accepted && e.canceledAt.IsZero() && e.lastState != job.Completed && e.lastState != job.Failed && !canceled {
 			unfinished = append(unfinished, id)
@@ -270,11 +270,11 @@
 
 // Violations returns the broken promises, once all callers have their answers: while one is on its way, a job may have begun
 // that is not known to be accepted.
-func (b *Checker) Violations() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	violations := slices.Clone(b.violations)
-	for id, e := range b.jobs {
+func (c *Checker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	violations := slices.Clone(c.violations)
+	for id, e := range c.jobs {
 		if e.started && !e.accepted && !e.outcomeUnknown {
 			violations = append(violations, fmt.Sprintf("job %s ran though all attempts to hand it in were refused", id))
 		}
@@ -283,20 +283,20 @@
 }
 
 // verify returns an error that names the broken promises, nil where all were kept.
-func (b *Checker) verify() error {
-	violations := b.Violations()
+func (c *Checker) verify() error {
+	violations := c.Violations()
 	if len(violations) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d promises broken:\n%s", len(violations), b)
+	return fmt.Errorf("%d promises broken:\n%s", len(violations), c)
 }
 
 // Counts tells of the jobs that were accepted and the runs that were started.
-func (b *Checker) Counts() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Checker) Counts() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	accepted, canceled := 0, 0
-	for _, e := range b.jobs {
+	for _, e := range c.jobs {
 		if e.accepted {
 			accepted++
 		}
@@ -304,19 +304,19 @@
 			canceled++
 		}
 	}
-	return fmt.Sprintf("%d jobs, %d accepted, %d canceled, %d starts", len(b.jobs), accepted, canceled, b.startCount)
+	return fmt.Sprintf("%d jobs, %d accepted, %d canceled, %d starts", len(c.jobs), accepted, canceled, c.startCount)
 }
 
 // String returns the broken promises, one a line.
-func (b *Checker) String() string { return strings.Join(b.Violations(), "\n") }
+func (c *Checker) String() string { return strings.Join(c.Violations(), "\n") }
 
 // running returns how many tasks of a step are on workers.
-func (b *Checker) running(id job.ID, step int) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Checker) running(id job.ID, step int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	count := 0
-	for i := range b.jobs[id].spec.Steps[step].Count {
-		if len(b.task(job.TaskID{Job: id, Step: step, Index: i}).running) > 0 {
+	for i := range c.jobs[id].spec.Steps[step].Count {
+		if len(c.task(job.TaskID{Job: id, Step: step, Index: i}).running) > 0 {
 			count++
 		}
 	}
@@ -324,8 +324,8 @@
 }
 
 // wasAccepted reports whether a job was accepted.
-func (b *Checker) wasAccepted(id job.ID) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.jobs[id].accepted
+func (c *Checker) wasAccepted(id job.ID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.jobs[id].accepted
 }
--- a/proving/fleet/crashes.go
+++ b/proving/fleet/crashes.go
@@ -30,35 +30,35 @@
 )
 
 // recordLostRun notes that a worker crashed while it ran a task.
-func (b *Checker) recordLostRun(id job.TaskID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.task(id).lostRuns++
+func (c *Checker) recordLostRun(id job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.task(id).lostRuns++
 }
 
 // recordCrash notes that a task recordCrash its worker.
-func (b *Checker) recordCrash(id job.TaskID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.task(id).crashCount++
+func (c *Checker) recordCrash(id job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.task(id).crashCount++
 }
 
-// checkCrashes judges a start by the workers that its task has crashed; b.mu is held.
-func (b *Checker) checkCrashes(id job.TaskID, h *taskRecord) {
+// checkCrashes judges a start by the workers that its task has crashed; c.mu is held.
+func (c *Checker) checkCrashes(id job.TaskID, h *taskRecord) {
 	if h.crashCount < crashLimit {
 		return
 	}
 	h.startsAfterCrashes++
 	if h.startsAfterCrashes == startsAfterLimit+1 {
-		b.recordViolation("%s was started %d times more after %d workers had crashed under it", id, h.startsAfterCrashes, crashLimit)
+		c.recordViolation("%s was started %d times more after %d workers had crashed under it", id, h.startsAfterCrashes, crashLimit)
 	}
 }
 
-// mayFail reports whether a job may be shown as failed: enough workers crashed under one of its tasks; b.mu is held.
-func (b *Checker) mayFail(id job.ID, e *jobRecord) bool {
+// mayFail reports whether a job may be shown as failed: enough workers crashed under one of its tasks; c.mu is held.
+func (c *Checker) mayFail(id job.ID, e *jobRecord) bool {
 	for n, step := range e.spec.Steps {
 		for i := range step.Count {
-			if b.task(job.TaskID{Job: id, Step: n, Index: i}).lostRuns >= minLostRuns {
+			if c.task(job.TaskID{Job: id, Step: n, Index: i}).lostRuns >= minLostRuns {
 				return true
 			}
 		}
@@ -70,10 +70,10 @@
 func (e *jobRecord) crashesWorkers() bool { return strings.Contains(e.spec.Text, crashMarker) }
 
 // GivenUp returns how many jobs were given up that crash their workers, and how many that do not.
-func (b *Checker) GivenUp() (crashing, others int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, e := range b.jobs {
+func (c *Checker) GivenUp() (crashing, others int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range c.jobs {
 		switch {
 		case e.lastState != job.Failed:
 		case e.crashesWorkers():
@@ -98,11 +98,11 @@
 }
 
 // CrashCount returns how many workers were crashed by tasks.
-func (b *Checker) CrashCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Checker) CrashCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	total := 0
-	for _, h := range b.tasks {
+	for _, h := range c.tasks {
 		total += h.crashCount
 	}
 	return total
--- a/proving/fleet/first_call.go
+++ b/proving/fleet/first_call.go
@@ -7,31 +7,31 @@
 )
 
 // recordFirstCall records that a call reached an incarnation, which from then on refuses what was sent under a lower fence.
-func (w *Worker) recordFirstCall(l *incarnation) {
+func (w *Worker) recordFirstCall(inc *incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !l.firstCall.IsZero() || w.incarnation != l {
+	if !inc.firstCall.IsZero() || w.incarnation != inc {
 		return
 	}
-	l.firstCall = time.Now()
-	w.checker.recordFirstCall(l.firstCall.Sub(l.start))
+	inc.firstCall = time.Now()
+	w.checker.recordFirstCall(inc.firstCall.Sub(inc.start))
 }
 
 // recordFirstCall records the time from the start of an incarnation to the first call that reached it.
-func (b *Checker) recordFirstCall(after time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.firstCalls = append(b.firstCalls, after)
+func (c *Checker) recordFirstCall(after time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.firstCalls = append(c.firstCalls, after)
 }
 
 // FirstCalls describes the times from the starts of incarnations to the first calls that reached them.
-func (b *Checker) FirstCalls() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.firstCalls) == 0 {
+func (c *Checker) FirstCalls() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.firstCalls) == 0 {
 		return "no incarnation called"
 	}
-	sorted := slices.Sorted(slices.Values(b.firstCalls))
+	sorted := slices.Sorted(slices.Values(c.firstCalls))
 	percentile := func(percent int) time.Duration { return sorted[(len(sorted)-1)*percent/100].Round(time.Millisecond) }
 	return fmt.Sprintf("%d incarnations called first after %v (median), %v (nine in ten), %v (longest)", len(sorted), percentile(50), percentile(90), percentile(100))
 }
@@ -44,10 +44,10 @@
 )
 
 // checkFirstCalls returns an error where incarnations were called late.
-func (b *Checker) checkFirstCalls() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	sorted := slices.Sorted(slices.Values(b.firstCalls))
+func (c *Checker) checkFirstCalls() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	sorted := slices.Sorted(slices.Values(c.firstCalls))
 	if len(sorted) < minFirstCalls || sorted[len(sorted)/2] <= maxMedianFirstCall {
 		return nil
 	}
@@ -55,9 +55,9 @@
 }
 
 // String describes how old the incarnation is, and when a call reached it first.
-func (l *incarnation) String() string {
-	if l.firstCall.IsZero() {
-		return fmt.Sprintf("%s, %v old, not called yet", l.key, time.Since(l.start).Round(time.Millisecond))
+func (inc *incarnation) String() string {
+	if inc.firstCall.IsZero() {
+		return fmt.Sprintf("%s, %v old, not called yet", inc.key, time.Since(inc.start).Round(time.Millisecond))
 	}
-	return fmt.Sprintf("%s, %v old, called first after %v", l.key, time.Since(l.start).Round(time.Millisecond), l.firstCall.Sub(l.start).Round(time.Millisecond))
+	return fmt.Sprintf("%s, %v old, called first after %v", inc.key, time.Since(inc.start).Round(time.Millisecond), inc.firstCall.Sub(inc.start).Round(time.Millisecond))
 }
--- a/proving/fleet/heartbeat.go
+++ b/proving/fleet/heartbeat.go
@@ -27,13 +27,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.incarnation.sequence++
-	l := w.incarnation
-	body, _ := json.Marshal(l.withStartTime(map[string]any{
+	inc := w.incarnation
+	body, _ := json.Marshal(inc.withStartTime(map[string]any{
 		"service": service, "address": "", "zone": w.hall, "version": "v1", "slots": 8, "state": "ready",
 		"capacity": map[string]int{"cpu": w.capacity.CPU, "mem-mb": w.capacity.Memory}, "labels": []string{"a", "r1-1"},
-		"clock-ms": l.clock(), "sequence": l.sequence,
+		"clock-ms": inc.clock(), "sequence": inc.sequence,
 	}))
-	return heartbeat{instance: l.instance, body: body}
+	return heartbeat{instance: inc.instance, body: body}
 }
 
 // send gives the agent a report.
--- a/proving/fleet/identity.go
+++ b/proving/fleet/identity.go
@@ -17,10 +17,8 @@
 // IdentityFunc returns the n-th birth of a worker.
 type IdentityFunc func(name string, n int) identity
 
-// UniqueID gives each incarnation an id of its own.
-func UniqueID(name string, n int) identity {
-	return identity{instance: fmt.Sprintf("i-%s-%d", name, n)}
-}
+// FreshID gives each incarnation an id of its own.
+func FreshID(name string, n int) identity { return identity{instance: fmt.Sprintf("i-%s-%d", name, n)} }
 
 // SameIDClockAhead starts again under the same id, with a clock that is ahead of the one before.
 func SameIDClockAhead(name string, n int) identity {
--- a/proving/fleet/incarnation.go
+++ b/proving/fleet/incarnation.go
@@ -59,46 +59,46 @@
 var incarnationCount atomic.Int64
 
 // clock returns the time of the steady clock in milliseconds, by which the lease is told.
-func (l *incarnation) clock() int64 { return (l.clockStart + time.Since(l.start)).Milliseconds() }
+func (inc *incarnation) clock() int64 { return (inc.clockStart + time.Since(inc.start)).Milliseconds() }
 
 // withStartTime adds what all accounts of the incarnation bear.
-func (l *incarnation) withStartTime(body map[string]any) map[string]any {
-	if l.startMillis != 0 {
-		body["born"] = l.startMillis
+func (inc *incarnation) withStartTime(body map[string]any) map[string]any {
+	if inc.startMillis != 0 {
+		body["born"] = inc.startMillis
 	}
 	return body
 }
 
 // used returns the room that all runs take.
-func (l *incarnation) used() job.Size {
+func (inc *incarnation) used() job.Size {
 	var used job.Size
-	for _, r := range l.running {
+	for _, r := range inc.running {
 		used = used.Plus(r.step.Reservation())
 	}
 	return used
 }
 
 // extendLease extends the lease to a time of the clock in milliseconds.
-func (l *incarnation) extendLease(until int64) {
-	end := l.start.Add(time.Duration(until)*time.Millisecond - l.clockStart)
+func (inc *incarnation) extendLease(until int64) {
+	end := inc.start.Add(time.Duration(until)*time.Millisecond - inc.clockStart)
 	if limit := time.Now().Add(maxLease); end.After(limit) {
 		end = limit
 	}
-	if end.After(l.leaseEnd) {
-		l.leaseEnd = end
+	if end.After(inc.leaseEnd) {
+		inc.leaseEnd = end
 	}
 }
 
 // renewalAnswer returns what a hold is answered with.
-func (l *incarnation) renewalAnswer() map[string]any {
+func (inc *incarnation) renewalAnswer() map[string]any {
 	running, ended := [][]any{}, [][]any{}
-	for id, r := range l.running {
+	for id, r := range inc.running {
 		running = append(running, []any{id.String(), r.number, "", r.progress(), r.step.Size.CPU})
 	}
-	for _, e := range l.endedRuns {
+	for _, e := range inc.endedRuns {
 		ended = append(ended, []any{e.number, e.task.String(), e.run, e.kind.String(), ""})
 	}
-	return l.withStartTime(map[string]any{"clock-ms": l.clock(), "running": running, "ended": ended})
+	return inc.withStartTime(map[string]any{"clock-ms": inc.clock(), "running": running, "ended": ended})
 }
 
 // progress returns how far a run is in percent; what lasts is at work at once.
@@ -110,9 +110,9 @@
 }
 
 // delayStart moves the start of an incarnation, which is that of a process that is down before.
-func (l *incarnation) delayStart(down time.Duration) {
-	l.start = l.start.Add(down)
-	if l.startMillis != 0 {
-		l.startMillis += down.Milliseconds()
+func (inc *incarnation) delayStart(down time.Duration) {
+	inc.start = inc.start.Add(down)
+	if inc.startMillis != 0 {
+		inc.startMillis += down.Milliseconds()
 	}
 }
--- a/proving/fleet/orders.go
+++ b/proving/fleet/orders.go
@@ -28,9 +28,9 @@
 		return
 	}
 	w.mu.Lock()
-	silent, late, l := w.unreachable(), w.orderDelay, w.incarnation
+	silent, late, inc := w.unreachable(), w.orderDelay, w.incarnation
 	w.mu.Unlock()
-	if expected := string(ctx.Request.Header.Peek("X-Expect-Instance")); expected != "" && expected != l.instance {
+	if expected := string(ctx.Request.Header.Peek("X-Expect-Instance")); expected != "" && expected != inc.instance {
 		ctx.SetStatusCode(fasthttp.StatusMisdirectedRequest)
 		return
 	}
@@ -39,54 +39,54 @@
 	case silent:
 		dropConnection(ctx)
 	case path == "/hold":
-		w.recordFirstCall(l)
-		w.handleRenewal(ctx, l, o)
+		w.recordFirstCall(inc)
+		w.handleRenewal(ctx, inc, o)
 	case late > 0 && o.Run%2 == 1:
-		time.AfterFunc(late, func() { w.executeLate(path, l, o) })
+		time.AfterFunc(late, func() { w.executeLate(path, inc, o) })
 		dropConnection(ctx)
 	default:
-		w.recordFirstCall(l)
-		answerOrder(ctx, l, w.execute(path, l, o))
+		w.recordFirstCall(inc)
+		answerOrder(ctx, inc, w.execute(path, inc, o))
 	}
 }
 
 // executeLate does an order that got no answer; one that falls due while the worker is down reaches no process.
-func (w *Worker) executeLate(path string, l *incarnation, o order) {
+func (w *Worker) executeLate(path string, inc *incarnation, o order) {
 	if !w.isDown() {
-		w.execute(path, w.lateTarget(l), o)
+		w.execute(path, w.lateTarget(inc), o)
 	}
 }
 
 // lateTarget returns the incarnation that carries out a late order for an earlier one: a later one under the same id does so too.
-func (w *Worker) lateTarget(l *incarnation) *incarnation {
+func (w *Worker) lateTarget(inc *incarnation) *incarnation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.incarnation.instance == l.instance {
+	if w.incarnation.instance == inc.instance {
 		return w.incarnation
 	}
-	return l
+	return inc
 }
 
 // execute does an order, unless its life is over, and returns why not.
-func (w *Worker) execute(path string, l *incarnation, o order) string {
+func (w *Worker) execute(path string, inc *incarnation, o order) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
 	id, ok := job.ParseTaskID(o.Task)
 	switch {
-	case w.incarnation != l || o.Fence < l.fence:
+	case w.incarnation != inc || o.Fence < inc.fence:
 		return "fence"
 	case !ok:
 		return "old"
 	}
-	l.fence = max(l.fence, o.Fence)
+	inc.fence = max(inc.fence, o.Fence)
 	switch path {
 	case "/run-start":
-		return w.startRun(l, id, o)
+		return w.startRun(inc, id, o)
 	case "/run-stop":
-		w.stopRun(l, id, o.Run)
+		w.stopRun(inc, id, o.Run)
 	case "/pace":
-		if r := l.running[id]; r != nil && r.number == o.Run {
+		if r := inc.running[id]; r != nil && r.number == o.Run {
 			r.percent = o.Percent
 		}
 	}
@@ -94,53 +94,53 @@
 }
 
 // startRun begins a run, unless it is not newer than what was started or its time is over; w.mu is held.
-func (w *Worker) startRun(l *incarnation, id job.TaskID, o order) string {
-	r := l.running[id]
+func (w *Worker) startRun(inc *incarnation, id job.TaskID, o order) string {
+	r := inc.running[id]
 	switch {
 	case r != nil && r.number == o.Run:
-		l.extendLease(o.LeaseEnd)
+		inc.extendLease(o.LeaseEnd)
 		return ""
-	case o.Run <= l.lastRuns[id]:
-		l.extendLease(o.LeaseEnd)
+	case o.Run <= inc.lastRuns[id]:
+		inc.extendLease(o.LeaseEnd)
 		return "old"
-	case o.LeaseEnd <= l.clock():
+	case o.LeaseEnd <= inc.clock():
 		return "late"
 	}
-	l.extendLease(o.LeaseEnd)
-	l.lastRuns[id] = o.Run
+	inc.extendLease(o.LeaseEnd)
+	inc.lastRuns[id] = o.Run
 	step, taskTime, known := w.checker.step(id)
-	l.running[id] = &run{number: o.Run, step: step, remaining: taskTime, advancedAt: time.Now(), percent: 100}
-	w.checker.checkStart(l, w.hall, id, o.Run, o.Spec)
+	inc.running[id] = &run{number: o.Run, step: step, remaining: taskTime, advancedAt: time.Now(), percent: 100}
+	w.checker.checkStart(inc, w.hall, id, o.Run, o.Spec)
 	if crashesWorker(o.Spec, id) {
-		w.scheduleCrash(l, id, crashDelayOf(o.Spec))
+		w.scheduleCrash(inc, id, crashDelayOf(o.Spec))
 	}
-	if used := l.used(); known && !w.allows(used) {
-		w.checker.recordOvercommit(l.key, id)
+	if used := inc.used(); known && !w.allows(used) {
+		w.checker.recordOvercommit(inc.key, id)
 	}
 	return ""
 }
 
 // stopRun ends a run, and keeps older ones from a start; w.mu is held.
-func (w *Worker) stopRun(l *incarnation, id job.TaskID, number int) {
-	l.lastRuns[id] = max(l.lastRuns[id], number)
-	if r := l.running[id]; r != nil && r.number == number {
+func (w *Worker) stopRun(inc *incarnation, id job.TaskID, number int) {
+	inc.lastRuns[id] = max(inc.lastRuns[id], number)
+	if r := inc.running[id]; r != nil && r.number == number {
 		w.endRun(id, job.EndStopped)
 	}
 }
 
 // handleRenewal renews what runs and answers once there is an end, or after a wait.
-func (w *Worker) handleRenewal(ctx *fasthttp.RequestCtx, l *incarnation, o order) {
-	reason := w.renew(l, o)
+func (w *Worker) handleRenewal(ctx *fasthttp.RequestCtx, inc *incarnation, o order) {
+	reason := w.renew(inc, o)
 	if reason != "" {
-		answerOrder(ctx, l, reason)
+		answerOrder(ctx, inc, reason)
 		return
 	}
 	deadline := time.Now().Add(time.Duration(o.WaitMillis) * time.Millisecond)
 	for {
 		w.mu.Lock()
-		hasEnds := len(l.endedRuns) > 0
-		body := l.renewalAnswer()
-		ended := w.incarnation != l
+		hasEnds := len(inc.endedRuns) > 0
+		body := inc.renewalAnswer()
+		ended := w.incarnation != inc
 		w.mu.Unlock()
 		if ended {
 			dropConnection(ctx)
@@ -155,18 +155,18 @@
 }
 
 // renew extends the lease and drops the ends that were seen, and returns why not.
-func (w *Worker) renew(l *incarnation, o order) string {
+func (w *Worker) renew(inc *incarnation, o order) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	if w.incarnation != l || o.Fence < l.fence {
+	if w.incarnation != inc || o.Fence < inc.fence {
 		return "fence"
 	}
-	l.fence = max(l.fence, o.Fence)
+	inc.fence = max(inc.fence, o.Fence)
 	if o.LeaseEnd > 0 {
-		l.extendLease(o.LeaseEnd)
+		inc.extendLease(o.LeaseEnd)
 	}
-	l.endedRuns = slices.DeleteFunc(l.endedRuns, func(e endedRun) bool {
+	inc.endedRuns = slices.DeleteFunc(inc.endedRuns, func(e endedRun) bool {
 		if e.number > o.Acknowledged {
 			return false
 		}
--- a/proving/fleet/worker.go
+++ b/proving/fleet/worker.go
@@ -39,7 +39,7 @@
 
 // NewWorker returns a worker that reports to an agent; Run lets it live.
 func NewWorker(name, hall, agent string, capacity job.Size, checker *Checker) *Worker {
-	w := &Worker{name: name, checker: checker, agent: agent, capacity: capacity, hall: hall, onCrash: func() {}, nextIdentity: UniqueID}
+	w := &Worker{name: name, checker: checker, agent: agent, capacity: capacity, hall: hall, onCrash: func() {}, nextIdentity: FreshID}
 	w.restart()
 	return w
 }
@@ -89,11 +89,11 @@
 }
 
 // scheduleCrash lets a task that has just been started crash this life of the worker after a time.
-func (w *Worker) scheduleCrash(l *incarnation, id job.TaskID, delay time.Duration) {
+func (w *Worker) scheduleCrash(inc *incarnation, id job.TaskID, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.incarnation != l {
+		if w.incarnation != inc {
 			return
 		}
 		w.checker.recordCrash(id)
@@ -180,14 +180,14 @@
 
 // advance ends what is done or over; w.mu is held.
 func (w *Worker) advance() {
-	now, l := time.Now(), w.incarnation
-	lapsed := !l.leaseEnd.IsZero() && now.After(l.leaseEnd)
+	now, inc := time.Now(), w.incarnation
+	lapsed := !inc.leaseEnd.IsZero() && now.After(inc.leaseEnd)
 	if lapsed {
-		for i := range l.endedRuns {
-			l.endedRuns[i].lapsed = true
+		for i := range inc.endedRuns {
+			inc.endedRuns[i].lapsed = true
 		}
 	}
-	for id, r := range l.running {
+	for id, r := range inc.running {
 		r.remaining -= now.Sub(r.advancedAt) * time.Duration(r.percent) / 100
 		r.advancedAt = now
 		switch {
@@ -201,10 +201,10 @@
 
 // endRun takes a run off and keeps its endRun until that is taken note of; w.mu is held.
 func (w *Worker) endRun(id job.TaskID, kind job.End) {
-	l := w.incarnation
-	r := l.running[id]
-	delete(l.running, id)
-	l.lastEnd++
-	l.endedRuns = append(l.endedRuns, endedRun{number: l.lastEnd, task: id, run: r.number, kind: kind})
-	w.checker.recordRunEnd(l.key, id, kind == job.EndDone)
+	inc := w.incarnation
+	r := inc.running[id]
+	delete(inc.running, id)
+	inc.lastEnd++
+	inc.endedRuns = append(inc.endedRuns, endedRun{number: inc.lastEnd, task: id, run: r.number, kind: kind})
+	w.checker.recordRunEnd(inc.key, id, kind == job.EndDone)
 }
--- a/proving/lateness/lateness.go
+++ b/proving/lateness/lateness.go
@@ -26,9 +26,9 @@
 // lateFactor times the objective is when a job is too late to be of use.
 const lateFactor = 3
 
-// Breakdown is how the time of the jobs of one queue and outcome was spent in the mean, along their critical tasks: in each step the
+// Stats is how the time of the jobs of one queue and outcome was spent in the mean, along their critical tasks: in each step the
 // task that ended last.
-type Breakdown struct {
+type Stats struct {
 	Queue   string
 	Outcome Outcome
 	Jobs    int
@@ -59,7 +59,7 @@
 }
 
 // Read returns the shares of the jobs in a log, by queue and outcome.
-func Read(log io.Reader) ([]Breakdown, error) {
+func Read(log io.Reader) ([]Stats, error) {
 	jobs := make(map[string]*jobLog)
 	lines := bufio.NewScanner(log)
 	const maxLineBytes = 1 << 20
@@ -156,33 +156,31 @@
 }
 
 // summarize adds up the jobs by queue and outcome; what was cancelled or failed is left out.
-func summarize(jobs map[string]*jobLog) []Breakdown {
+func summarize(jobs map[string]*jobLog) []Stats {
 	type key struct {
 		queue   string
 		outcome Outcome
 	}
-	breakdowns := make(map[key]*Breakdown)
+	stats := make(map[key]*Stats)
 	for _, j := range jobs {
 		if !j.submitted || (j.ended && !j.completed) {
 			continue
 		}
 		k := key{j.queue, j.outcome()}
-		if breakdowns[k] == nil {
-			breakdowns[k] = &Breakdown{Queue: k.queue, Outcome: k.outcome}
+		if stats[k] == nil {
+			stats[k] = &Stats{Queue: k.queue, Outcome: k.outcome}
 		}
-		breakdowns[k].add(j)
+		stats[k].add(j)
 	}
-	all := make([]Breakdown, 0, len(breakdowns))
-	for _, s := range breakdowns {
+	all := make([]Stats, 0, len(stats))
+	for _, s := range stats {
 		all = append(all, s.mean())
 	}
-	slices.SortFunc(all, func(a, b Breakdown) int {
-		return cmp.Or(cmp.Compare(a.Queue, b.Queue), cmp.Compare(a.Outcome, b.Outcome))
-	})
+	slices.SortFunc(all, func(a, b Stats) int { return cmp.Or(cmp.Compare(a.Queue, b.Queue), cmp.Compare(a.Outcome, b.Outcome)) })
 	return all
 }
 
-func (s *Breakdown) add(j *jobLog) {
+func (s *Stats) add(j *jobLog) {
 	s.Jobs++
 	s.Objective += j.objective
 	if j.ended {
@@ -197,7 +195,7 @@
 	}
 }
 
-func (s *Breakdown) mean() Breakdown {
+func (s *Stats) mean() Stats {
 	n := time.Duration(s.Jobs)
 	m := *s
 	for _, d := range []*time.Duration{&m.Elapsed, &m.Objective, &m.Waiting, &m.Retrying, &m.Running} {
--- a/proving/lateness/lateness_test.go
+++ b/proving/lateness/lateness_test.go
@@ -15,10 +15,10 @@
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, archive *txtar.Archive) {
 		assert.Equal(t, len(archive.Files), 2)
-		breakdowns, err := Read(strings.NewReader(string(archive.Files[0].Data)))
+		stats, err := Read(strings.NewReader(string(archive.Files[0].Data)))
 		assert.NilError(t, err)
 		var got strings.Builder
-		for _, s := range breakdowns {
+		for _, s := range stats {
 			fmt.Fprintf(&got, "%s %s jobs=%d took=%s waiting=%s again=%s running=%s\n",
 				s.Queue, s.Outcome, s.Jobs, s.Elapsed, s.Waiting, s.Retrying, s.Running)
 		}
