--- a/proving/cmd/bench/cells.go
+++ b/proving/cmd/bench/cells.go
@@ -21,9 +21,9 @@
 	churnPerVM   = 0.12
 )
 
-// benchCells measures each role with the timing of production, idle and then at the letter's rate of starts for each VM.
+// benchCells measures each role with production timing, first idle and then at the specified rate of starts per VM.
 func benchCells(sizes []int) error {
-	fmt.Printf("\neach role, %s a phase; %d services and %d batch tasks for each VM, churn of %.2f starts a second for each VM\n\n",
+	fmt.Printf("\neach role, %s per phase; %d services and %d batch tasks per VM, churn of %.2f starts per second and VM\n\n",
 		measureTime, servicePerVM, tasksPerVM, churnPerVM)
 	fmt.Println("| agents | phase | role | core % | MiB | control B/s | store reads/s | store writes/s | document B |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// productionTiming sets back what the scenarios shorten.
+// productionTiming restores the production values of settings that the scenarios shorten.
 var productionTiming = []string{
 	"set.agent.heartbeat=5s", "set.agent.reconcile=500ms", "set.agent.task_lease=30s", "set.agent.measure=1s",
 	"set.lead.lease=10s", "set.lead.window=200ms", "set.lead.list=10s", "set.lead.commit_bytes=4000",
@@ -68,7 +68,7 @@
 	}
 	<-time.After(settleTime)
 	measurePhase(s, n, "idle", func() {})
-	// The churn's tasks end by themselves as soon as they have started.
+	// The churn's tasks end as soon as they have started.
 	for i := range n {
 		if _, err := s.Do("fault", "w"+strconv.Itoa(i+1), "set?runtime=300000"); err != nil {
 			return err
@@ -88,7 +88,7 @@
 	return out.String()
 }
 
-// churn submits and cancels jobs so that tasks start and end at the wanted rate.
+// churn submits and cancels jobs so that tasks start and end at the rate churnPerVM.
 func churn(s *stage.Stage, n int) {
 	perSecond := max(int(churnPerVM*float64(n)+0.5), 1)
 	ticker := time.NewTicker(time.Second)
@@ -107,7 +107,7 @@
 	}
 }
 
-// measurePhase watches all processes for a phase and writes a line for each role.
+// measurePhase measures all processes during a phase and prints a line for each role.
 func measurePhase(s *stage.Stage, n int, phase string, during func()) {
 	processes := s.Processes()
 	cpu, bytes, calls := cpuTimes(processes), controlByteCounts(s, processes), storeCallCounts(s)
@@ -132,7 +132,7 @@
 		if count == 0 {
 			continue
 		}
-		fmt.Printf("| %d | %s | %s (most of %d) | %.2f | %.1f | %.0f | %.1f | %.1f | %d |\n", n, phase, role, count, cpuPercent, memory,
+		fmt.Printf("| %d | %s | %s (max of %d) | %.2f | %.1f | %.0f | %.1f | %.1f | %d |\n", n, phase, role, count, cpuPercent, memory,
 			byteRate, float64(callsAfter["reads"]-calls["reads"])/seconds, float64(callsAfter["writes"]-calls["writes"])/seconds, document)
 	}
 }
@@ -178,7 +178,7 @@
 	return calls
 }
 
-// leadersOf returns the agents that lead, and the bytes of the largest document.
+// leadersOf returns the agents that are leaders, and the size in bytes of the largest document.
 func leadersOf(s *stage.Stage) (map[string]bool, int) {
 	var region struct {
 		Cells []struct {
--- a/proving/cmd/bench/decisions.go
+++ b/proving/cmd/bench/decisions.go
@@ -10,7 +10,7 @@
 	"github.com/saffronpulley/saffronpulley/proving/decision"
 )
 
-// benchDecisions plays each day under each column with each seed, and writes the medians and ranges.
+// benchDecisions simulates each day under each variant with each seed and prints the medians and ranges.
 func benchDecisions(seeds []uint64, only string) error {
 	days, err := decision.Days()
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 func writeDay(name string, seeds []uint64, variants []decision.Variant, results [][]decision.Result) {
-	fmt.Printf("\n%s, seeds %v, median (least to most)\n\n", name, seeds)
+	fmt.Printf("\n%s, seeds %v, median (min to max)\n\n", name, seeds)
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprint(writer, "| column\t")
 	for _, m := range decision.Measures() {
--- a/proving/cmd/bench/doc.go
+++ b/proving/cmd/bench/doc.go
@@ -1,3 +1,2 @@
-// Command bench measures the decisions and the processes, and writes the
-// tables of docs/MEASUREMENTS.md.
+// Command bench measures the scheduling decisions and the processes, and writes the tables of docs/MEASUREMENTS.md.
 package main
--- a/proving/cmd/bench/lateness.go
+++ b/proving/cmd/bench/lateness.go
@@ -9,7 +9,7 @@
 	"github.com/saffronpulley/saffronpulley/proving/lateness"
 )
 
-// benchLateness prints how the time of the jobs in a log was spent, in seconds in the mean.
+// benchLateness prints how the time of the jobs in a log was spent, as averages in seconds.
 func benchLateness(path string) error {
 	log, err := os.ReadFile(path)
 	if err != nil {
--- a/proving/cmd/bench/path.go
+++ b/proving/cmd/bench/path.go
@@ -27,7 +27,7 @@
 `
 )
 
-// newStage returns a stage over the programs beside this one, without relays.
+// newStage returns a stage without relays that runs the programs in the directory of this one.
 func newStage() (*stage.Stage, string, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -42,7 +42,7 @@
 	return s, dir, nil
 }
 
-// applyTable makes a text the table through an entry.
+// applyTable replaces the table through an entry.
 func applyTable(s *stage.Stage, text string) error {
 	url := "http://" + s.Address("e1", "admin") + "/v1/table?base=0&author=bench&write_id=bench"
 	status, body, err := post(url, []byte(text))
@@ -63,7 +63,8 @@
 	return response.StatusCode(), append([]byte(nil), response.Body()...), err
 }
 
-// benchPath times the same request straight to the endpoint, through agent and entry, and to a bare echo, in one run.
+// benchPath measures the same request sent to the endpoint directly, through agent and entry, and to a bare echo server, in
+// one run.
 func benchPath() error {
 	s, dir, err := newStage()
 	if err != nil {
@@ -111,7 +112,7 @@
 	}
 	var statuses []worker.StatusWire
 	if err := json.Unmarshal(body, &statuses); err != nil || len(statuses) != 1 {
-		return "", fmt.Errorf("the worker runs %d tasks: %w", len(statuses), err)
+		return "", fmt.Errorf("the worker runs %d tasks, not one: %w", len(statuses), err)
 	}
 	return statuses[0].Address, nil
 }
@@ -127,7 +128,7 @@
 	return listener.Addr().String(), nil
 }
 
-// timePath sends requests over a fixed number of connections, each as soon as the last was answered.
+// timePath sends requests over a fixed number of connections, each after the previous answer and at least an interval apart.
 func timePath(s *stage.Stage, name, url string, interval time.Duration) {
 	client := &fasthttp.Client{MaxConnsPerHost: pathConnections}
 	body := make([]byte, 64)
@@ -139,7 +140,7 @@
 	var senders sync.WaitGroup
 	for i := range pathConnections {
 		senders.Go(func() {
-			// Paced senders take turns, else each round would be a burst.
+			// Paced senders start at staggered times; otherwise they would send in bursts.
 			<-time.After(interval * time.Duration(i) / pathConnections)
 			latencies, failures := sendUntil(client, url, body, end, interval)
 			mu.Lock()
--- a/proving/cmd/bench/proc.go
+++ b/proving/cmd/bench/proc.go
@@ -11,7 +11,7 @@
 // ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
-// cpuTimes returns the processor time that each process has used.
+// cpuTimes returns the processor time used by each process.
 func cpuTimes(processes map[string]int) map[string]time.Duration {
 	times := make(map[string]time.Duration, len(processes))
 	for name, pid := range processes {
--- a/proving/cmd/demo/doc.go
+++ b/proving/cmd/demo/doc.go
@@ -1,3 +1,3 @@
-// Command demo shows the main job on separate processes: a lookup answered, and a mailing run evicted, resumed and finished;
-// then the same kinds of job on the stand-in of the users' platform, while entries are killed.
+// Command demo demonstrates the main use with separate processes: a lookup is answered, and a mailing run is evicted,
+// resumed and finished. It then runs such jobs on the stand-in for the users' platform while entries are killed.
 package main
--- a/proving/cmd/demo/main.go
+++ b/proving/cmd/demo/main.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// run plays the script with the programs that stand beside this one.
+// run runs the script with the programs in the directory of this one.
 func run() error {
 	program, err := os.Executable()
 	if err != nil {
@@ -48,11 +48,11 @@
 	if err := runOnPlatform(filepath.Dir(program)); err != nil {
 		return err
 	}
-	fmt.Println("demo: all steps went well")
+	fmt.Println("demo: all steps succeeded")
 	return nil
 }
 
-// scriptRunner plays a script outside a test.
+// scriptRunner runs a script outside a test.
 type scriptRunner struct {
 	ended  chan struct{}
 	failed bool
--- a/proving/cmd/demo/platform.go
+++ b/proving/cmd/demo/platform.go
@@ -7,7 +7,8 @@
 	"github.com/saffronpulley/saffronpulley/proving/fleet"
 )
 
-// runOnPlatform shows jobs on the users' platform: entries and agents as processes, beside stand-ins of store and workers.
+// runOnPlatform demonstrates jobs on the users' platform: entries and agents as processes, with stand-ins for the store and
+// the workers.
 func runOnPlatform(binaries string) error {
 	dir, err := os.MkdirTemp("", "demo-platform")
 	if err != nil {
--- a/proving/cmd/docs/doc.go
+++ b/proving/cmd/docs/doc.go
@@ -1,3 +1,2 @@
-// Command docs writes the pages that come from the code: the table's columns,
-// the settings and the error kinds.
+// Command docs writes the pages that are generated from the code: the table's columns, the settings and the error kinds.
 package main
--- a/proving/cmd/docs/main.go
+++ b/proving/cmd/docs/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	app := kingpin.New("docs", "Writes the pages that come from the code.")
+	app := kingpin.New("docs", "Writes the pages that are generated from the code.")
 	dir := app.Arg("dir", "Directory of the pages.").Default("docs").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	for name, text := range pages() {
@@ -25,7 +25,7 @@
 	}
 }
 
-// pages returns each page by its file name.
+// pages returns the pages by file name.
 func pages() map[string]string {
 	return map[string]string{"TABLE.md": tablePage(), "SETTINGS.md": settingsPage(), "ERRORS.md": errorsPage()}
 }
--- a/proving/cmd/mutants/doc.go
+++ b/proving/cmd/mutants/doc.go
@@ -1,3 +1,3 @@
-// Command mutants turns each guard off in a copy of the repository and checks
-// that a test goes red, which is how we know that the checks can fail.
+// Command mutants disables guards one by one in a copy of the repository and checks that a test fails for each, which shows
+// that the tests can detect the fault.
 package main
--- a/proving/cmd/mutants/main.go
+++ b/proving/cmd/mutants/main.go
@@ -15,7 +15,7 @@
 //go:embed mutants.yaml
 var mutantList []byte
 
-// mutant is a guard that is turned off, and the test that must notice.
+// mutant is a change that disables a guard, and the test that must fail for it.
 type mutant struct {
 	Name string `yaml:"name"`
 	File string `yaml:"file"`
@@ -25,7 +25,7 @@
 }
 
 func main() {
-	app := kingpin.New("mutants", "Turns guards off one by one; a test must go red for each.")
+	app := kingpin.New("mutants", "Disables guards one by one; a test must fail for each.")
 	only := app.Flag("only", "Only mutants whose name contains this.").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(*only); err != nil {
@@ -64,12 +64,12 @@
 		fmt.Printf("%-50s %s\n", m.Name, result)
 	}
 	if survivors > 0 {
-		return fmt.Errorf("%d guards can be turned off unnoticed", survivors)
+		return fmt.Errorf("%d guards can be disabled without a failing test", survivors)
 	}
 	return nil
 }
 
-// runMutant changes the file, runs the test, and puts the file back.
+// runMutant changes the file, runs the test and restores the file. It reports whether the test failed.
 func runMutant(dir string, m mutant) (bool, error) {
 	file := filepath.Join(dir, m.File)
 	original, err := os.ReadFile(file)
@@ -77,7 +77,7 @@
 		return false, err
 	}
 	if strings.Count(string(original), m.From) != 1 {
-		return false, fmt.Errorf("the guard is not there, or not once")
+		return false, fmt.Errorf("the guard does not occur exactly once")
 	}
 	mutated := strings.Replace(string(original), m.From, m.To, 1)
 	if err := os.WriteFile(file, []byte(mutated), 0o600); err != nil {
--- a/proving/cmd/soak/doc.go
+++ b/proving/cmd/soak/doc.go
@@ -1,3 +1,3 @@
-// Command soak runs real processes under faults, on the stand-in of the users' platform seed after seed, or on the product's
-// own interface at today's sizes, and tells what was broken.
+// Command soak runs real processes under faults and reports violations: on the stand-in for the users' platform, one seed
+// after another, or on the product's own interface at production size.
 package main
--- a/proving/cmd/soak/main.go
+++ b/proving/cmd/soak/main.go
@@ -28,20 +28,20 @@
 
 func main() {
 	app := kingpin.New("soak", "Runs real processes under failures.")
-	ownInterface := app.Command("own", "The product's own interface, at today's sizes.")
-	length := ownInterface.Flag("for", "How long.").Default("5m").Duration()
+	ownInterface := app.Command("own", "The product's own interface, at production size.")
+	length := ownInterface.Flag("for", "Duration of the soak.").Default("5m").Duration()
 	seed := ownInterface.Flag("seed", "Seed of the failures.").Default("1").Uint64()
-	onPlatform := app.Command("platform", "The users' platform, seed after seed.").Default()
+	onPlatform := app.Command("platform", "The users' platform, one seed after another.").Default()
 	var p platformSoak
 	onPlatform.Flag("first", "First seed.").Default("1").Uint64Var(&p.first)
 	onPlatform.Flag("seeds", "How many seeds.").Default("5").Uint64Var(&p.seeds)
-	onPlatform.Flag("for", "How long failures come for each seed.").Default("20s").DurationVar(&p.length)
+	onPlatform.Flag("for", "Duration of the faults for each seed.").Default("20s").DurationVar(&p.length)
 	onPlatform.Flag("entries", "How many entries.").Default("3").IntVar(&p.entries)
 	onPlatform.Flag("agents", "How many agents with their workers.").Default("6").IntVar(&p.agents)
 	onPlatform.Flag("crashes", "Let some jobs crash the workers that start them.").Default("true").BoolVar(&p.crashes)
-	onPlatform.Flag("returns", "Let workers start again under ids that they had.").Default("true").BoolVar(&p.reuseIDs)
-	onPlatform.Flag("rates", "Let the store refuse calls for their rate now and then.").Default("false").BoolVar(&p.limitRates)
-	onPlatform.Flag("keep", "Where the logs of seeds that fail are kept.").Default("out/soak").StringVar(&p.logDir)
+	onPlatform.Flag("returns", "Let workers restart under ids used before.").Default("true").BoolVar(&p.reuseIDs)
+	onPlatform.Flag("rates", "Let the store be rate limited at times.").Default("false").BoolVar(&p.limitRates)
+	onPlatform.Flag("keep", "Directory for the logs of failed seeds.").Default("out/soak").StringVar(&p.logDir)
 	run := p.run
 	if kingpin.MustParse(app.Parse(os.Args[1:])) == ownInterface.FullCommand() {
 		run = func() error { return soakOwnInterface(*length, *seed) }
@@ -52,7 +52,7 @@
 	}
 }
 
-// soaker plays failures on a stage.
+// soaker injects faults on a stage.
 type soaker struct {
 	stage  *stage.Stage
 	random *rand.Rand
@@ -112,7 +112,7 @@
 	return s.do("load", "once", "lookups", "e3", "e1", "e2", "rate=100")
 }
 
-// injectFaults makes something fail every few seconds, and posts a job now and then.
+// injectFaults injects a fault every few seconds and submits a job at every third one.
 func (s *soaker) injectFaults(length time.Duration) error {
 	end := time.Now().Add(length)
 	for round := 0; time.Now().Before(end); round++ {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// submitJob posts a job; one that is refused for now is not counted.
+// submitJob submits a job; one that all entries refuse is not counted.
 func (s *soaker) submitJob(round int) {
 	name := "job-" + strconv.Itoa(round)
 	workload := []string{"mailing", "settlement"}[s.random.IntN(2)]
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// awaitAndCheck lets everything end, and judges.
+// awaitAndCheck waits until all jobs end and checks the results.
 func (s *soaker) awaitAndCheck(before map[string]processSize) error {
 	if err := s.do("await", "ready", strconv.Itoa(workers), "within=60s"); err != nil {
 		return err
@@ -183,14 +183,14 @@
 	lost := 0
 	for _, name := range s.jobs {
 		if err := s.do("await", "job", name, "e1", "finished", "within=90s"); err != nil {
-			fmt.Println("a job does not end:", err)
+			fmt.Println("job did not end:", err)
 			lost++
 		}
 	}
 	if err := s.doAll([]string{"unload", "repeatable"}, []string{"unload", "once"}, []string{"books"}); err != nil {
 		return err
 	}
-	fmt.Printf("jobs posted %d of 20 tasks each, not ended %d\n", len(s.jobs), lost)
+	fmt.Printf("jobs submitted %d of 20 tasks each, not ended %d\n", len(s.jobs), lost)
 	after := s.sizes()
 	for _, name := range []string{"e1", "e2", "e3", "a1", "a2", "a11"} {
 		fmt.Printf("%s: goroutines %d then %d, descriptors %d then %d, heap %d then %d bytes\n", name,
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// processSize is how large a process is.
+// processSize is the resource usage of a process.
 type processSize struct {
 	goroutines, heap int64
 	descriptors      int
--- a/proving/cmd/soak/platform.go
+++ b/proving/cmd/soak/platform.go
@@ -9,10 +9,10 @@
 	"github.com/saffronpulley/saffronpulley/proving/fleet"
 )
 
-// jobEvery is how often a job is handed in.
+// jobEvery is the interval between submitted jobs.
 const jobEvery = 120 * time.Millisecond
 
-// platformSoak plays seeds on the path of the users' platform, one after the other, and keeps the logs of those that fail.
+// platformSoak runs seeds on the stand-in for the users' platform, one after another, and keeps the logs of those that fail.
 type platformSoak struct {
 	first, seeds    uint64
 	length          time.Duration
@@ -62,7 +62,7 @@
 	}
 	err = f.RunSoak(fleet.Soak{Seed: seed, Duration: p.length, JobInterval: jobEvery, Crashes: p.crashes, ReuseIDs: p.reuseIDs, LimitRates: p.limitRates, Logf: logf})
 	crashing, harmless := f.Checker().GivenUp()
-	fmt.Printf("seed %d: %s; %d workers crashed by tasks, %d jobs given up that do so, %d others\n",
+	fmt.Printf("seed %d: %s; %d workers crashed by tasks, %d crashing jobs given up, %d others\n",
 		seed, f.Checker().Counts(), f.Checker().CrashCount(), crashing, harmless)
 	fmt.Printf("seed %d: %s\n", seed, f.Checker().FirstCalls())
 	if err == nil {
--- a/proving/cmd/standin/main.go
+++ b/proving/cmd/standin/main.go
@@ -25,7 +25,7 @@
 	accelerators := work.Flag("accelerators", "Accelerators.").Default("0").Int64()
 	runtime := work.Flag("runtime", "How long a batch task takes.").Default("2s").Duration()
 	service := work.Flag("service", "How long a request takes.").Default("2ms").Duration()
-	host := work.Flag("endpoint-host", "IP number of the endpoints.").Default("127.0.0.1").String()
+	host := work.Flag("endpoint-host", "IP address of the endpoints.").Default("127.0.0.1").String()
 
 	var handler fasthttp.RequestHandler
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
--- a/proving/decision/batch.go
+++ b/proving/decision/batch.go
@@ -14,10 +14,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// restoreSeconds is the work that a resumed task does over, in seconds.
+// restoreSeconds is the work in seconds that a task repeats when it resumes from a checkpoint.
 const restoreSeconds = 3.0
 
-// delayedReport is a usage report or a latency that has not arrived yet.
+// delayedReport is a usage or latency report that has not arrived yet.
 type delayedReport struct {
 	arrivesAt time.Duration
 	apply     func()
@@ -82,7 +82,7 @@
 
 func (w *fakeWorker) instance() string { return "vm-" + strconv.Itoa(100+w.number) }
 
-// progress moves the runs on by a second, and reports those that end.
+// progress advances the runs by a second and ends those that are done.
 func (s *sim) progress(second int) {
 	for _, w := range s.workers {
 		s.checkCommitment(w)
@@ -106,14 +106,14 @@
 	}
 }
 
-// sortedRuns returns the runs of the worker in a fixed order, so that a seed gives the same day each time.
+// sortedRuns returns the runs of the worker in a fixed order, so that a seed reproduces its results.
 func (w *fakeWorker) sortedRuns() []task.Run {
 	return slices.SortedFunc(maps.Keys(w.runs), func(a, b task.Run) int {
 		return cmp.Or(strings.Compare(a.ID().Job(), b.ID().Job()), cmp.Compare(a.ID().Index(), b.ID().Index()))
 	})
 }
 
-// killForMemory fails the youngest tasks while all take more memory than there is, as the VM's kernel would.
+// killForMemory fails the youngest tasks while the tasks use more memory than the VM has, as the VM's kernel does.
 func (s *sim) killForMemory(w *fakeWorker) {
 	used := float64(s.day.Service.Memory)
 	for _, r := range w.runs {
@@ -132,7 +132,7 @@
 	}
 }
 
-// contention is how much slower tasks run when more processors are wanted than there are.
+// contention returns the factor by which tasks run slower when they use more processors than the VM has.
 func (w *fakeWorker) contention(s *sim) float64 {
 	used := 0.0
 	for _, r := range w.runs {
@@ -144,7 +144,7 @@
 	return max(used/float64(s.day.Processors), 1)
 }
 
-// checkCommitment counts the workers that are committed beyond what they have.
+// checkCommitment counts an overcommitment of a worker.
 func (s *sim) checkCommitment(w *fakeWorker) {
 	var used resource.Vector
 	for _, r := range w.runs {
@@ -166,7 +166,7 @@
 	return resource.New(s.day.Processors*1000, s.day.Memory, accelerators)
 }
 
-// endRun ends a run and tells the document, as an agent's report would.
+// endRun ends a run and updates the document, as a report of an agent does.
 func (s *sim) endRun(w *fakeWorker, run task.Run, state task.State) {
 	r := w.runs[run]
 	delete(w.runs, run)
@@ -202,7 +202,7 @@
 	return e
 }
 
-// reportUsage sends the usage of a worker's runs on its late way.
+// reportUsage sends the usage of a worker's runs, which arrives after the current report delay.
 func (s *sim) reportUsage(w *fakeWorker, second int) {
 	for _, run := range w.sortedRuns() {
 		r := w.runs[run]
--- a/proving/decision/day.go
+++ b/proving/decision/day.go
@@ -13,7 +13,7 @@
 //go:embed days/*.yaml
 var days embed.FS
 
-// Day is the load of a team and what goes wrong in it, from a data file.
+// Day is a simulated day of a team, read from a data file: its load and its failures.
 type Day struct {
 	Name       string `yaml:"name"`
 	Workers    int    `yaml:"workers"`
@@ -21,7 +21,7 @@
 	Memory     int64  `yaml:"memory_mb"`
 	Seconds    int    `yaml:"seconds"`
 	Reserved   int    `yaml:"reserved_workers"`
-	// Accelerated is how many workers, the first ones, have accelerators, and Accelerators how many each has.
+	// Accelerated is the number of workers with accelerators, which are the first ones; Accelerators is how many each has.
 	Accelerated  int             `yaml:"accelerated_workers"`
 	Accelerators int64           `yaml:"accelerators"`
 	ReportLag    int             `yaml:"report_lag_s"`
@@ -35,7 +35,7 @@
 	Noise        []NoiseInterval `yaml:"noise"`
 }
 
-// ServiceLoad is the service of a day.
+// ServiceLoad is the service of a day and its load.
 type ServiceLoad struct {
 	Name       string  `yaml:"name"`
 	Processors int64   `yaml:"processors"`
@@ -45,18 +45,18 @@
 	TargetMs   float64 `yaml:"target_ms"`
 	MeanMs     float64 `yaml:"mean_ms"`
 	Sigma      float64 `yaml:"sigma"`
-	// Load is the share of all slots that requests take at evenly spaced moments of the day.
+	// Load is the share of all slots in use by requests, at evenly spaced times of the day.
 	Load []float64 `yaml:"load"`
 }
 
-// BatchLoad is a batch workload; what it really takes and how much it harms is not told to the policies.
+// BatchLoad is a batch workload. The policies do not see its actual usage and its interference.
 type BatchLoad struct {
 	Name       string `yaml:"name"`
 	Team       string `yaml:"team"`
 	Weight     int    `yaml:"weight"`
 	Processors int64  `yaml:"processors"`
 	Memory     int64  `yaml:"memory_mb"`
-	// Accelerators is how many a task takes.
+	// Accelerators is the number of accelerators per task.
 	Accelerators int64      `yaml:"accelerators"`
 	RuntimeS     int        `yaml:"runtime_s"`
 	Evictions    int        `yaml:"evictions"`
@@ -67,7 +67,7 @@
 	Interference [4]float64 `yaml:"harm_by_band"`
 }
 
-// JobLoad is a job that is submitted at a second of the day; every and until repeat it.
+// JobLoad is a job that is submitted at a second of the day and then, if Every is set, periodically up to Until.
 type JobLoad struct {
 	At       int    `yaml:"at"`
 	Every    int    `yaml:"every"`
@@ -76,28 +76,28 @@
 	Tasks    int    `yaml:"tasks"`
 }
 
-// WorkerEvent is a worker that something happens to from a second to another.
+// WorkerEvent is an event at a worker that lasts from one second to another.
 type WorkerEvent struct {
 	Worker int `yaml:"worker"`
 	From   int `yaml:"from"`
 	Until  int `yaml:"until"`
 }
 
-// CancelBurst is a number of jobs of one task that are submitted and canceled at once.
+// CancelBurst is a number of one-task jobs that are submitted and canceled in the same second.
 type CancelBurst struct {
 	At       int    `yaml:"at"`
 	Workload string `yaml:"workload"`
 	Jobs     int    `yaml:"jobs"`
 }
 
-// ReportDelay is a time in which usage reports lag more.
+// ReportDelay is an interval with another delay of usage and latency reports.
 type ReportDelay struct {
 	From int `yaml:"from"`
 	To   int `yaml:"to"`
 	Lag  int `yaml:"lag_s"`
 }
 
-// NoiseInterval is a time in which a workload harms more.
+// NoiseInterval is an interval in which the interference of a workload is multiplied by Factor.
 type NoiseInterval struct {
 	From     int     `yaml:"from"`
 	To       int     `yaml:"to"`
@@ -127,7 +127,7 @@
 	return all, nil
 }
 
-// slotShare is the share of all slots that requests take at a second.
+// slotShare returns the share of all slots in use by requests at a second, interpolated linearly.
 func (d *Day) slotShare(second float64) float64 {
 	position := second / float64(d.Seconds) * float64(len(d.Service.Load)-1)
 	i := min(int(position), len(d.Service.Load)-2)
--- a/proving/decision/decide.go
+++ b/proving/decision/decide.go
@@ -21,7 +21,7 @@
 
 var workerProbation = probation.Policy{Failures: 3, Wait: 10 * time.Second}
 
-// schedule measures each worker, applies the remedies, plans, and brings the fake workers to the plan.
+// schedule measures each worker, applies the remedies, makes a plan and applies it to the fake workers.
 func (s *sim) schedule(second int) {
 	for _, w := range s.workers {
 		if !w.lost {
@@ -42,7 +42,7 @@
 	s.apply()
 }
 
-// snapshotWorkers describes the workers as a lead would.
+// snapshotWorkers describes the workers as a leader does.
 func (s *sim) snapshotWorkers() []scheduling.Worker {
 	workers := make([]scheduling.Worker, 0, len(s.workers))
 	for _, w := range s.workers {
@@ -63,7 +63,7 @@
 
 const minSamples = 5
 
-// measure looks at the latency of a worker's replica and applies the remedies there, as an agent does.
+// measure reads the latency of a worker's replica and applies the remedies there, as an agent does.
 func (s *sim) measure(w *fakeWorker, second int) {
 	if w.replica == nil {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// loads are the batch workloads on a worker with what they are believed to harm at full speed.
+// loads returns the batch workloads on a worker with the slowdown that the worker's model attributes to each at full speed.
 func (s *sim) loads(w *fakeWorker) []remedy.Load {
 	shares := s.shares(w, false)
 	loads := make([]remedy.Load, 0, len(shares))
@@ -100,7 +100,7 @@
 	return loads
 }
 
-// reportLatency sends what was measured on its late way to the cell's model.
+// reportLatency sends a latency measurement to the cell's model, where it arrives after the current report delay.
 func (s *sim) reportLatency(band interference.Band, neighbors []interference.Neighbor, mean time.Duration, n int64, second int) {
 	service, at := s.day.Service.Name, s.clock()
 	s.reports = append(s.reports, delayedReport{arrivesAt: s.now + s.day.lag(second), apply: func() {
@@ -110,7 +110,8 @@
 
 func (s *sim) neighbors(w *fakeWorker) []interference.Neighbor { return s.shares(w, true) }
 
-// shares are the shares of the processors that the workloads on a worker were given, throttled or at full speed.
+// shares returns the share of the processors reserved by each workload on a worker, reduced by throttling if throttled is
+// set.
 func (s *sim) shares(w *fakeWorker, throttled bool) []interference.Neighbor {
 	shares := make(map[string]float64)
 	for _, r := range w.runs {
@@ -128,7 +129,7 @@
 	return neighbors
 }
 
-// evictOne checkpoints a task: with a budget the evictable one of least weight, else any.
+// evictOne checkpoints the batch task of the lowest weight; if budgeted is set, only among the evictable tasks.
 func (s *sim) evictOne(w *fakeWorker, budgeted bool) {
 	best, found, weight := cell.Task{}, false, 0
 	for _, t := range s.document.PlacedOn(w.instance()) {
@@ -156,7 +157,7 @@
 	}
 }
 
-// apply brings the fake workers to what the document says, as agents would.
+// apply starts and ends runs on the fake workers to match the document, as agents do.
 func (s *sim) apply() {
 	for _, w := range s.workers {
 		if w.lost {
@@ -211,7 +212,7 @@
 	s.replicas = append(s.replicas, w.replica)
 }
 
-// planBaseline places services like ours, and batch tasks in their order by a simple rule on declared sizes.
+// planBaseline places services with the scheduler, and batch tasks in job order by a simple rule on declared sizes.
 func (s *sim) planBaseline(snapshot scheduling.Snapshot, workers []scheduling.Worker) {
 	services := snapshot.WithOptions(scheduling.Options{ServicesOnly: true})
 	scheduling.Make(s.document, services)
@@ -257,7 +258,8 @@
 	return ids
 }
 
-// pickBaseline takes the first worker with room, or the one with the most; without colocation only those without a replica.
+// pickBaseline returns the first fitting worker or the one with the most free processors, -1 if none fits. A dedicated
+// variant excludes workers with a replica.
 func (s *sim) pickBaseline(workers []scheduling.Worker, free []resource.Vector, size resource.Vector) int {
 	best := -1
 	for i := range workers {
--- a/proving/decision/doc.go
+++ b/proving/decision/doc.go
@@ -1,4 +1,3 @@
-// Package decision runs the product's own policies against fakes of the
-// workers and the callers in fake time, beside simpler ways of deciding, and
-// reports what each does to latency, batch work and evictions.
+// Package decision simulates the product's policies, and simpler ones for comparison, with fake workers and callers in
+// simulated time. It reports the effects on latency, batch work and evictions.
 package decision
--- a/proving/decision/result.go
+++ b/proving/decision/result.go
@@ -7,7 +7,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/table"
 )
 
-// Result is what a day came to under a column.
+// Result is the result of a day under a variant.
 type Result struct {
 	requests      int
 	late          int
@@ -28,7 +28,7 @@
 	return r
 }
 
-// summarize works out the latencies, and the share of the tasks due that ended.
+// summarize computes the latencies and the share of the submitted tasks that finished.
 func (s *sim) summarize() {
 	target := s.day.Service.TargetMs * 1000
 	s.result.p50 = float64(s.window.ValueAtQuantile(50)) / target
@@ -45,16 +45,16 @@
 	s.result.endedShare = float64(ended) / float64(max(due, 1))
 }
 
-// Measure is one figure of a result.
+// Measure is a metric of a result.
 type Measure struct {
 	name  string
 	value func(Result) float64
 }
 
-// Name returns the heading of the figure.
+// Name returns the heading of the metric.
 func (m Measure) Name() string { return m.name }
 
-// Measures returns the figures in the order of the table.
+// Measures returns the metrics in the order of the printed table.
 func Measures() []Measure {
 	return []Measure{
 		{"p50/target", func(r Result) float64 { return r.p50 }},
@@ -70,7 +70,7 @@
 	}
 }
 
-// Median returns the median of a figure over results, with its least and largest value.
+// Median returns the median of a metric over results, with its minimum and maximum.
 func Median(results []Result, m Measure) (median, low, high float64) {
 	values := make([]float64, 0, len(results))
 	for _, r := range results {
--- a/proving/decision/sim.go
+++ b/proving/decision/sim.go
@@ -21,7 +21,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/task"
 )
 
-// sim is one day under one column.
+// sim is the simulation of one day under one variant.
 type sim struct {
 	day       *Day
 	variant   Variant
@@ -44,7 +44,7 @@
 	jobs      map[string]time.Duration
 }
 
-// fakeWorker is a worker with the runs that it really runs.
+// fakeWorker is a worker with its actual runs.
 type fakeWorker struct {
 	number       int
 	lost         bool
@@ -107,7 +107,7 @@
 	return last
 }
 
-// Run plays a day under a column with a seed.
+// Run simulates a day under a variant with a seed.
 func Run(day *Day, variant Variant, seed uint64) (Result, error) {
 	s := &sim{
 		day: day, variant: variant, random: rand.New(rand.NewPCG(seed, 1)), began: time.Unix(1_700_000_000, 0),
@@ -146,7 +146,7 @@
 	return table.Table{}.Apply(table.NewEdit(0, rows, "bench", "bench"), s.began)
 }
 
-// serviceWorkers is how many workers the service runs on.
+// serviceWorkers returns how many workers the service runs on.
 func (s *sim) serviceWorkers() int {
 	if s.variant.dedicated {
 		return s.day.Reserved
@@ -156,7 +156,7 @@
 
 func (s *sim) clock() time.Time { return s.began.Add(s.now) }
 
-// runSecond plays one runSecond: the decisions first, then the requests of the runSecond.
+// runSecond simulates one second: the decisions first, then the requests.
 func (s *sim) runSecond(second int) {
 	s.now = time.Duration(second) * time.Second
 	s.loseWorkers(second)
@@ -168,7 +168,8 @@
 	s.runRequests(second)
 }
 
-// updateSlowdowns works out how much slower requests and tasks run on each worker, from what its tasks really do.
+// updateSlowdowns computes the slowdown of requests and tasks on each worker from the actual usage and interference of its
+// tasks.
 func (s *sim) updateSlowdowns(second int) {
 	for _, w := range s.workers {
 		used, interferenceSum := 0.0, 0.0
@@ -185,7 +186,7 @@
 	}
 }
 
-// throttle is what a run may use of its processors, in percent.
+// throttle returns the percentage of its processors that a run may use.
 func (s *sim) throttle(w *fakeWorker, r *fakeRun) int {
 	if s.variant.noThrottle {
 		return remedy.Unthrottled
@@ -193,7 +194,7 @@
 	return w.remedy.Throttle(r.load.Name)
 }
 
-// runRequests plays the runRequests of a second: each goes to the better of two replicas, waits and runs there.
+// runRequests simulates the requests of a second: each is routed to the better of two replicas, waits and runs there.
 func (s *sim) runRequests(second int) {
 	end := s.now + time.Second
 	perSecond := s.day.slotShare(float64(second)) * float64(s.day.Workers*s.day.Service.Slots) / (s.day.Service.MeanMs / 1000)
@@ -229,7 +230,7 @@
 	s.result.refused++
 }
 
-// offer routes a request as entries do, and admits it as agents do.
+// offer routes a request as an entry does and admits it as an agent does.
 func (s *sim) offer(r request) bool {
 	i := s.route()
 	if i < 0 {
@@ -253,7 +254,7 @@
 	return true
 }
 
-// queueUnbounded queues without a limit.
+// queueUnbounded admits a request to a queue without a limit.
 func (s *sim) queueUnbounded(r request) bool {
 	if r.replica.limiter.Offer(time.Hour) == admission.Run {
 		s.startRequest(r)
--- a/proving/decision/variant.go
+++ b/proving/decision/variant.go
@@ -4,7 +4,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/scheduling"
 )
 
-// placer is how a column chooses the worker of a batch task.
+// placer is how a variant selects the worker of a batch task.
 type placer int
 
 const (
@@ -13,7 +13,7 @@
 	leastLoaded
 )
 
-// Variant is one way of deciding; the zero value is ours.
+// Variant is a variant of the policies, by default the product's own without changes.
 type Variant struct {
 	name             string
 	placer           placer
@@ -28,10 +28,10 @@
 	noBalancing      bool
 }
 
-// Name returns the name of the column.
+// Name returns the name of the variant, which the bench command calls a column.
 func (v Variant) Name() string { return v.name }
 
-// Variants returns ours, the simpler ways, and ours with each part turned off.
+// Variants returns the product's policies, simpler ones for comparison, and the product's with each part turned off.
 func Variants() []Variant {
 	return []Variant{
 		{name: "no batch work", noBatch: true},
--- a/proving/fleet/crash_test.go
+++ b/proving/fleet/crash_test.go
@@ -40,7 +40,7 @@
 	assert.NilError(t, f.checker.verify())
 	assert.NilError(t, finished)
 	crashing, harmless := f.checker.GivenUp()
-	t.Logf("%s; %d workers crashed, %d jobs given up that crash workers, %d others", f.checker.Counts(), f.checker.CrashCount(), crashing, harmless)
+	t.Logf("%s; %d workers crashed, %d crashing jobs given up, %d others", f.checker.Counts(), f.checker.CrashCount(), crashing, harmless)
 	assert.Equal(t, crashing, 2)
 	assert.Equal(t, harmless, 0)
 }
@@ -71,7 +71,7 @@
 	others.Wait()
 	finished := f.awaitFinished(c, finishTimeout)
 	crashing, harmless := f.checker.GivenUp()
-	t.Logf("%s; %d workers crashed, %d jobs given up that crash workers, %d others", f.checker.Counts(), f.checker.CrashCount(), crashing, harmless)
+	t.Logf("%s; %d workers crashed, %d crashing jobs given up, %d others", f.checker.Counts(), f.checker.CrashCount(), crashing, harmless)
 	assert.NilError(t, f.checker.verify())
 	assert.NilError(t, finished)
 	assert.Equal(t, crashing, 2)
--- a/proving/fleet/incarnation.go
+++ b/proving/fleet/incarnation.go
@@ -48,9 +48,9 @@
 }
 
 // newIncarnation returns an incarnation without runs.
-func newIncarnation(b identity) *incarnation {
+func newIncarnation(id identity) *incarnation {
 	return &incarnation{
-		identity: b, key: fmt.Sprintf("%s/%d/%d", b.instance, b.startMillis, incarnationCount.Add(1)), start: time.Now(),
+		identity: id, key: fmt.Sprintf("%s/%d/%d", id.instance, id.startMillis, incarnationCount.Add(1)), start: time.Now(),
 		running: make(map[job.TaskID]*run), lastRuns: make(map[job.TaskID]int),
 	}
 }
--- a/proving/fleet/later_disturbances.go
+++ b/proving/fleet/later_disturbances.go
@@ -8,7 +8,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// secondDisturbances are drawn from a random stream of their own: seeds recorded before this list was added still draw the
+// secondDisturbances are drawn with a generator of their own: seeds recorded before this list was added still draw the
 // same faults from the first list.
 var secondDisturbances = []disturbance{
 	{"connections to an entry stay silent", func(f *Fleet, n int, _ time.Duration) { f.peer(n).SilenceOpen() }},
@@ -39,7 +39,7 @@
 	`{"service":"other","address":"","zone":"","version":"v1","slots":8,"state":"draining","capacity":{"cpu":9,"mem-mb":9},"clock-ms":1,"sequence":%d}`,
 }
 
-// thirdDisturbances are drawn from a random stream of their own, for the same reason as secondDisturbances.
+// thirdDisturbances are drawn with a generator of their own, for the same reason as secondDisturbances.
 var thirdDisturbances = []disturbance{
 	{"capacity of a worker shrinks", func(f *Fleet, n int, d time.Duration) {
 		f.worker(n).SetCapacity(job.Size{CPU: workerCapacity.CPU / 2, Memory: workerCapacity.Memory / 2})
--- a/proving/fleet/worker.go
+++ b/proving/fleet/worker.go
@@ -26,7 +26,7 @@
 	previousCapacity job.Size
 	previousUntil    time.Time
 	incarnation      *incarnation
-	// silent suppresses all answers and reports; orderDelay delays every other order, which then gets no answer.
+	// silent suppresses all answers and reports; orderDelay delays orders for odd run numbers, which get no answer.
 	silent       bool
 	orderDelay   time.Duration
 	incarnations int
@@ -152,7 +152,7 @@
 	w.silent = silent
 }
 
-// SetOrderDelay makes the worker execute every other order late and without an answer; 0 ends this.
+// SetOrderDelay makes the worker execute orders for odd run numbers late and without an answer; 0 ends this.
 func (w *Worker) SetOrderDelay(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/proving/lateness/event.go
+++ b/proving/lateness/event.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// event is a line of a log that tells of a job.
+// event is a log line about a job.
 type event struct {
 	at      time.Duration
 	message string
 	fields  map[string]string
 }
 
-// linePattern reads the simulated seconds, or those since some start, the process and the messagePattern; the messagePattern may stand in a JSON
-// linePattern.
+// linePattern matches the time in seconds (simulated, or since some start), the process and the rest of a line.
+// messagePattern matches a message in the rest, which may be JSON.
 var (
 	linePattern    = regexp.MustCompile(`^\s*(-?[0-9.]+) \S+ (.*)$`)
 	messagePattern = regexp.MustCompile(`(?:dispatch|intake): ([a-z ]+); ([^"]*)`)
 )
 
-// parse reads a line of a log, false where it tells nothing of a job.
+// parse parses a log line and reports whether it is about a job.
 func parse(text string) (event, bool) {
 	lineMatch := linePattern.FindStringSubmatch(text)
 	if lineMatch == nil {
@@ -44,7 +44,7 @@
 	return e, true
 }
 
-// millis returns a field that is a number of milliseconds, 0 where it is none.
+// millis returns a field in milliseconds, 0 if it is missing or not a number.
 func (e event) millis(name string) time.Duration {
 	n, err := strconv.ParseInt(e.fields[name], 10, 64)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// step returns the job, its time and its step of the task that the event names.
+// step returns the job, iteration and step of the event's task.
 func (e event) step() string {
 	parts := strings.Split(e.fields["task"], ".")
 	return strings.Join(parts[:max(len(parts)-1, 0)], ".")
--- a/proving/lateness/lateness.go
+++ b/proving/lateness/lateness.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Outcome is how a job ended against its objective.
+// Outcome is the outcome of a job relative to its objective.
 type Outcome int
 
 //go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
@@ -23,26 +23,26 @@
 	Open                   // open
 )
 
-// lateFactor times the objective is when a job is too late to be of use.
+// lateFactor is the multiple of the objective after which a job is too late to be of use.
 const lateFactor = 3
 
-// Stats is how the time of the jobs of one queue and outcome was spent in the mean, along their critical tasks: in each step the
-// task that ended last.
+// Stats is how the time of the jobs of one queue and outcome was spent on average, along their critical tasks: the task of
+// each step that ended last.
 type Stats struct {
 	Queue   string
 	Outcome Outcome
 	Jobs    int
-	// Elapsed is from handing in to the end, Objective what it should have been at the most.
+	// Elapsed is the time from submission to the end, Objective its target.
 	Elapsed   time.Duration
 	Objective time.Duration
-	// Waiting is the time before the first run of a critical task, Again that from its first run to its last, Running the
-	// last run.
+	// Waiting is the time before the first run of a critical task, Retrying that from its first run to its last, Running
+	// that of the last run.
 	Waiting  time.Duration
 	Retrying time.Duration
 	Running  time.Duration
 }
 
-// task is what the logs tell of a task.
+// task is the times of a task in the logs.
 type task struct {
 	firstStart, lastStart, doneAt time.Duration
 	ended                         bool
@@ -53,12 +53,12 @@
 	submitted            bool
 	submittedAt, endedAt time.Duration
 	objective            time.Duration
-	// ended says that the job has ended, completed that it was done.
+	// ended says that the job ended, completed that it ended as completed.
 	ended, completed bool
 	steps            map[string]map[string]*task
 }
 
-// Read returns the shares of the jobs in a log, by queue and outcome.
+// Read returns the statistics of the jobs in a log, by queue and outcome.
 func Read(log io.Reader) ([]Stats, error) {
 	jobs := make(map[string]*jobLog)
 	lines := bufio.NewScanner(log)
@@ -75,7 +75,7 @@
 	return summarize(jobs), nil
 }
 
-// apply takes an event into its job.
+// apply applies an event to its job.
 func apply(jobs map[string]*jobLog, e event) {
 	name := e.fields["job"]
 	if name == "" {
@@ -128,7 +128,7 @@
 	}
 }
 
-// outcome returns how the job ended.
+// outcome returns the outcome of the job.
 func (j *jobLog) outcome() Outcome {
 	took := j.endedAt - j.submittedAt
 	switch {
@@ -155,7 +155,7 @@
 	return found
 }
 
-// summarize adds up the jobs by queue and outcome; what was cancelled or failed is left out.
+// summarize aggregates the jobs by queue and outcome, without canceled and failed ones.
 func summarize(jobs map[string]*jobLog) []Stats {
 	type key struct {
 		queue   string
--- a/proving/platform/doc.go
+++ b/proving/platform/doc.go
@@ -1,4 +1,3 @@
-// Package platform holds small stand-ins for the platform: the key-value
-// service, the list of VMs, and a worker with its service endpoints. Each can
-// be told to fail.
+// Package platform provides small stand-ins for the platform: the key-value service, the list of VMs, and a worker with its
+// service endpoints. Faults can be injected into each.
 package platform
--- a/proving/platform/endpoint.go
+++ b/proving/platform/endpoint.go
@@ -13,7 +13,7 @@
 
 type netConn = net.Conn
 
-// endpoints are the service endpoints of a worker, with the count of what each request body was run.
+// endpoints are the service endpoints of a worker; executed counts the requests by body.
 type endpoints struct {
 	service atomic.Int64
 	fault   atomic.Value
@@ -73,7 +73,7 @@
 
 func (e *endpoint) close() { _ = e.listener.Close() }
 
-// serve runs a request: it takes the service time, longer under pressure, and echoes the body.
+// serve executes a request: it takes the service time, longer under load by batch tasks, and echoes the body.
 func (e *endpoints) serve(ctx *fasthttp.RequestCtx, pressure func() float64) {
 	body := append([]byte(nil), ctx.Request.Body()...)
 	if len(body) <= maxCountedBody {
@@ -87,7 +87,7 @@
 	e.applyFault(ctx)
 }
 
-// applyFault makes the answer wrong in the way that was asked for.
+// applyFault replaces the answer by a wrong one while a fault is set.
 func (e *endpoints) applyFault(ctx *fasthttp.RequestCtx) {
 	switch e.fault.Load() {
 	case "other":
--- a/proving/platform/faults.go
+++ b/proving/platform/faults.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Faults is how a stand-in is told to fail, over its path /control/NAME.
+// Faults are the faults of a stand-in, which are set over its path /control/NAME.
 type Faults struct {
 	mu             sync.Mutex
 	down           bool
@@ -17,7 +17,7 @@
 	versionsBehind int
 }
 
-// Control takes down, up, slow?ms=N, lose?answers=N and old?versions=N.
+// Control accepts down, up, slow?ms=N, lose?answers=N and old?versions=N.
 func (f *Faults) Control(ctx *fasthttp.RequestCtx) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Enter delays a call, or refuses it while the stand-in is down.
+// Enter delays a call and reports whether it may proceed; while the stand-in is down it refuses the call.
 func (f *Faults) Enter(ctx *fasthttp.RequestCtx) bool {
 	f.mu.Lock()
 	down, slow := f.down, f.slow
@@ -52,7 +52,7 @@
 	return !down
 }
 
-// LoseAnswer drops the connection instead of the answer to a write that took effect, as often as was asked.
+// LoseAnswer drops the connection instead of answering a write that took effect, for the requested number of answers.
 func (f *Faults) LoseAnswer(ctx *fasthttp.RequestCtx) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +65,7 @@
 	ctx.Hijack(func(c netConn) { _ = c.Close() })
 }
 
-// Behind returns how many versions old the answers are.
+// Behind returns by how many versions answers are stale.
 func (f *Faults) Behind() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/proving/platform/store.go
+++ b/proving/platform/store.go
@@ -12,7 +12,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/store"
 )
 
-// Store stands in for the platform's key-value service.
+// Store is a stand-in for the platform's key-value service.
 type Store struct {
 	faults Faults
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// latest is the newest record, or an older one while the store is told to answer old data; s.mu is held.
+// latest returns the newest record, or an older one while stale answers are requested; s.mu is held.
 func (s *Store) latest(key string) record {
 	records := s.records[key]
 	if len(records) == 0 {
@@ -126,7 +126,7 @@
 		current = records[len(records)-1].version
 	}
 	if len(ctx.Request.Body()) > 1<<20 {
-		ctx.Error("the value is over a megabyte", fasthttp.StatusRequestEntityTooLarge)
+		ctx.Error("the value exceeds one mebibyte", fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
 	if current != from {
--- a/proving/platform/vms.go
+++ b/proving/platform/vms.go
@@ -12,7 +12,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/vmlist"
 )
 
-// VMs stands in for the platform's list of VMs.
+// VMs is a stand-in for the platform's list of VMs.
 type VMs struct {
 	faults Faults
 
@@ -29,7 +29,7 @@
 // NewVMs returns an empty list.
 func NewVMs() *VMs { return &VMs{lines: make(map[string][]lineVersion)} }
 
-// Handle serves the list; POST /control/set takes a line, and /control/lag?ms=N makes the list lag.
+// Handle serves the list; POST /control/set sets a line, and /control/lag?ms=N makes the list lag.
 func (v *VMs) Handle(ctx *fasthttp.RequestCtx) {
 	switch path := string(ctx.Path()); {
 	case path == "/control/set":
@@ -56,7 +56,7 @@
 	v.lines[line.Instance] = append(v.lines[line.Instance], lineVersion{line: line, at: time.Now()})
 }
 
-// list answers each line as it stood when the lag began.
+// list answers with each line as it was before the lag.
 func (v *VMs) list(ctx *fasthttp.RequestCtx) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/proving/platform/worker.go
+++ b/proving/platform/worker.go
@@ -14,22 +14,22 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// WorkerConfig describes a worker to stand in for.
+// WorkerConfig is the configuration of a stand-in for a worker.
 type WorkerConfig struct {
 	Instance     string
 	Capacity     resource.Vector
 	Slots        int
 	Connections  int
 	EndpointHost string
-	// Runtime is how long a batch task takes.
+	// Runtime is the running time of a batch task.
 	Runtime time.Duration
-	// Service is how long a request takes at an idle VM.
+	// Service is the service time of a request on an idle VM.
 	Service time.Duration
-	// UsageLag is how old usage reports are.
+	// UsageLag is the age of usage reports.
 	UsageLag time.Duration
 }
 
-// Worker stands in for a worker; it keeps its own books, by which the proofs judge.
+// Worker is a stand-in for a worker. It records its own history, against which tests check invariants.
 type Worker struct {
 	WorkerConfig
 	faults Faults
@@ -56,7 +56,7 @@
 	span       int
 }
 
-// Span is the time in which a run was on the worker, in milliseconds since 1970; an end of 0 is still to come.
+// Span is the time of a run on the worker, in milliseconds since 1970; Until is 0 while it runs.
 type Span struct {
 	Worker string         `json:"worker"`
 	Run    worker.RunWire `json:"run"`
@@ -67,24 +67,24 @@
 	State  string         `json:"state"`
 }
 
-// WorkerHistory is what the worker saw.
+// WorkerHistory is the history of a worker.
 type WorkerHistory struct {
 	Spans []Span `json:"spans"`
-	// Overcommitted counts the moments in which the VM was committed beyond what it has.
+	// Overcommitted counts the starts after which the runs exceeded the capacity of the VM.
 	Overcommitted int            `json:"over_committed"`
 	Executed      map[string]int `json:"executed"`
 }
 
 const tickInterval = 20 * time.Millisecond
 
-// NewWorker returns a worker that runs nothing.
+// NewWorker returns a worker without runs.
 func NewWorker(config WorkerConfig) *Worker {
 	w := &Worker{WorkerConfig: config, runs: make(map[worker.RunWire]*workerRun), endpoints: newEndpoints()}
 	go w.tickLoop()
 	return w
 }
 
-// Handle serves the worker's protocol, and its faults below /control/.
+// Handle serves the worker's protocol, and its faults under /control/.
 func (w *Worker) Handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -102,7 +102,7 @@
 	}
 }
 
-// set takes fail=yes, saves=no, hang=yes, runtime=MS, service=MS and lag=MS.
+// set takes fail=yes, saves=no, hang=yes, runtime=MS, service=MS and answer=FAULT.
 func (w *Worker) set(ctx *fasthttp.RequestCtx) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// used is what the runs take; w.mu is held.
+// used returns the capacity used by the runs; w.mu is held.
 func (w *Worker) used() resource.Vector {
 	var used resource.Vector
 	for _, r := range w.runs {
@@ -289,7 +289,7 @@
 	}
 }
 
-// advance moves a run on; w.mu is held.
+// advance advances a run and ends it if it is due; w.mu is held.
 func (w *Worker) advance(r *workerRun, now time.Time) {
 	if r.state != task.Running {
 		return
@@ -311,7 +311,7 @@
 	}
 }
 
-// pressure is the share of the VM that batch tasks use.
+// pressure returns the share of the VM's processors that batch tasks use.
 func (w *Worker) pressure() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/proving/relay/doc.go
+++ b/proving/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay stands between processes and lets connections come to grief: cut, silent one way, slow or reset.
+// Package relay provides TCP relays that inject connection faults: cuts, dropped bytes in one direction, delays and resets.
 package relay
--- a/proving/relay/relay.go
+++ b/proving/relay/relay.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// Relay stands before the address of a process.
+// Relay forwards connections to a process.
 type Relay struct {
 	address string
 
 	mu       sync.Mutex
 	listener net.Listener
 	closed   bool
-	// target is where new connections lead.
+	// target is the address to which new connections are forwarded.
 	target string
-	// cut are the sources, by IP number, of which nothing passes; muted are the ways on which nothing does.
+	// cut are the source IP addresses whose traffic is dropped; dropped are the directions in which all bytes are dropped.
 	cut     map[string]bool
 	dropped Direction
 	delay   time.Duration
-	// sources are the connections that stand, with the IP number of each; silent are those on which nothing passes for good.
+	// sources are the open connections with their source IP addresses; silenced are those on which all bytes are dropped
+	// until they close.
 	sources  map[net.Conn]string
 	silenced map[net.Conn]bool
 }
 
-// bufferSize is how many bytes are read at once.
+// bufferSize is the number of bytes read at once.
 const bufferSize = 32 << 10
 
-// Direction is a way of bytes through a relay; several may be joined.
+// Direction is a direction of bytes through a relay; directions can be combined.
 type Direction int
 
-// The ways of bytes.
+// The directions of bytes.
 const (
-	// ToTarget is from those that connect to the process, Back the other way.
+	// ToTarget is from the clients to the target, FromTarget the reverse.
 	ToTarget Direction = 1 << iota
 	FromTarget
 )
 
-// New returns a relay that listens on an address and passes on to a target, which may be set later.
+// New returns a relay that listens on an address and forwards connections to a target, which may be set later.
 func New(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -49,10 +50,10 @@
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the address the relay listens on.
 func (r *Relay) Address() string { return r.address }
 
-// Close ends the relay; connections that stand go on.
+// Close closes the relay's listener; open connections stay open.
 func (r *Relay) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +61,7 @@
 	return r.listener.Close()
 }
 
-// Refuse breaks all connections and refuses new ones, as a machine does on which the process is gone.
+// Refuse resets all connections and refuses new ones, as a machine does whose process has ended.
 func (r *Relay) Refuse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +69,7 @@
 	r.reset(func(string) bool { return true })
 }
 
-// Reopen takes connections again after Refuse, unless the relay is closed.
+// Reopen accepts connections again after Refuse, unless the relay is closed.
 func (r *Relay) Reopen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,14 +85,14 @@
 	return nil
 }
 
-// SetTarget sets where new connections lead.
+// SetTarget sets the address to which new connections are forwarded.
 func (r *Relay) SetTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
-// SetCut makes the relay swallow, or pass again, all that comes from an IP number.
+// SetCut cuts or restores the traffic of a source IP address; restoring it resets its connections.
 func (r *Relay) SetCut(source string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// Drop makes the relay swallow all bytes of some ways, whoever sends them; 0 passes all again.
+// Drop drops all bytes in the given directions; 0 forwards all again and resets all connections.
 func (r *Relay) Drop(directions Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,21 +112,22 @@
 	}
 }
 
-// SetDelay sets how long bytes are held up on each way.
+// SetDelay sets the delay of bytes in each direction.
 func (r *Relay) SetDelay(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
 }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset(func(string) bool { return true })
 }
 
-// reset breaks the connections of some sources, as a healed network does with what hung; r.mu is held.
+// reset closes the connections of the matching sources, as happens to hung connections after a network recovers; r.mu is
+// held.
 func (r *Relay) reset(matches func(source string) bool) {
 	for link, source := range r.sources {
 		if matches(source) {
@@ -134,7 +136,7 @@
 	}
 }
 
-// SilenceOpen makes all connections that stand silent for good, without a reset; new ones pass.
+// SilenceOpen drops all bytes on the open connections until they close, without a reset; new connections work.
 func (r *Relay) SilenceOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +145,7 @@
 	}
 }
 
-// drops reports whether bytes of a connection from a source are lost on a way, and how long they take else.
+// drops reports whether bytes of a connection are dropped in a direction, and otherwise their delay.
 func (r *Relay) drops(link net.Conn, source string, direction Direction) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,7 +163,7 @@
 	}
 }
 
-// serve passes the bytes of a connection both ways until either end is closed.
+// serve forwards the bytes of a connection in both directions until either end is closed.
 func (r *Relay) serve(link net.Conn) {
 	source, _, _ := net.SplitHostPort(link.RemoteAddr().String())
 	target := r.add(link, source)
@@ -180,7 +182,7 @@
 	<-done
 }
 
-// add counts a connection among those that stand, and returns where it leads.
+// add registers an open connection and returns its target.
 func (r *Relay) add(link net.Conn, source string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +190,7 @@
 	return r.target
 }
 
-// remove counts a connection as gone.
+// remove removes a closed connection.
 func (r *Relay) remove(link net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,14 +198,14 @@
 	delete(r.silenced, link)
 }
 
-// stream is one way through a relay, of a connection from a source.
+// stream is one direction of a connection.
 type stream struct {
 	link      net.Conn
 	source    string
 	direction Direction
 }
 
-// copy passes bytes on, late where the relay is slow; while they are to be lost it swallows them.
+// copy forwards bytes after the relay's delay and discards those to be dropped.
 func (r *Relay) copy(to io.Writer, from io.Reader, p stream) {
 	buffer := make([]byte, bufferSize)
 	for {
--- a/proving/stage/api.go
+++ b/proving/stage/api.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// apiVerb runs the examples of a page against an entry: PAGE ENTRY. Each block marked http is a request, and the block
-// marked answer after it the status and lines that the answer must contain; $JOB is the latest job's identifier.
+// apiVerb runs the examples of a page against an entry: PAGE ENTRY. A block marked http is a request; the block marked
+// answer after it holds the status and lines that the answer must contain. $JOB is the id of the latest job.
 func (s *Stage) apiVerb(args []string) (string, error) {
 	page, err := os.ReadFile(args[0])
 	if err != nil {
@@ -45,7 +45,7 @@
 
 type block struct{ kind, text string }
 
-// blocks returns the fenced blocks of a page that are marked.
+// blocks returns the fenced blocks of a page with their marks.
 func blocks(page string) []block {
 	var found []block
 	for i, part := range strings.Split(page, "```") {
--- a/proving/stage/await.go
+++ b/proving/stage/await.go
@@ -11,7 +11,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/control"
 )
 
-// region is the state of the region as an entry answers it.
+// region is the state of the region in an entry's status answer.
 type region struct {
 	TableVersion uint64               `json:"table_version"`
 	Cells        []control.CellStatus `json:"cells"`
@@ -27,7 +27,7 @@
 	}
 	status, body, _, err := s.post("GET", "http://"+address+"/v1/status", nil, nil)
 	if err != nil || status != http.StatusOK {
-		return r, fmt.Errorf("the status cannot be read: %d %w", status, err)
+		return r, fmt.Errorf("cannot read the status: %d %w", status, err)
 	}
 	return r, json.Unmarshal(body, &r)
 }
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// awaitVerb waits for a state:
-// job NAME ENTRY STATE | evictions NAME ENTRY N | running SERVICE ENTRY N | placed NAME ENTRY N |
-// lead ENTRY [not=AGENT] | worker INSTANCE ENTRY STATE | ready N | table ENTRY VERSION | executed BODY N.
+// awaitVerb waits for a state, [within=D] at most: job NAME ENTRY STATE | evictions NAME ENTRY N | running SERVICE ENTRY N |
+// placed NAME ENTRY N | lead ENTRY [not=AGENT] | worker INSTANCE ENTRY STATE | ready N | table ENTRY VERSION | executed BODY
+// N.
 func (s *Stage) awaitVerb(args []string) (string, error) {
 	values, rest := options(args)
 	limit := awaitTimeout
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// entryToQuery is the entry that is asked for a state.
+// entryToQuery returns the entry whose status shows the awaited state.
 func entryToQuery(rest []string) string {
 	if rest[0] == "lead" || rest[0] == "table" {
 		return rest[1]
@@ -121,7 +121,7 @@
 	return rest[len(rest)-2]
 }
 
-// entries are the entries that run.
+// entries returns the running entries.
 func (s *Stage) entries() []string {
 	var names []string
 	for name, p := range s.processes {
@@ -169,13 +169,13 @@
 	case "worker":
 		return r.checkWorker(rest[1], rest[3])
 	default:
-		return fmt.Errorf("nothing is known of %s", rest[0])
+		return fmt.Errorf("unknown state %s", rest[0])
 	}
 }
 
 func (r *region) checkLeader(excluded string) error {
 	if len(r.Cells) == 0 || len(r.Unreachable) > 0 || r.Cells[0].Leader == excluded {
-		return fmt.Errorf("no new lead yet: %v", r.Unreachable)
+		return fmt.Errorf("no new leader yet: %v", r.Unreachable)
 	}
 	return nil
 }
--- a/proving/stage/doc.go
+++ b/proving/stage/doc.go
@@ -1,4 +1,3 @@
-// Package stage runs the system's processes with the platform's stand-ins on
-// loopback, and gives scenario scripts the verbs to drive them, make them fail
-// and judge them by the books of the workers.
+// Package stage runs the system's processes with stand-ins for the platform on loopback. It provides the verbs with which
+// scenario scripts drive the processes, inject faults and check the histories of the workers.
 package stage
--- a/proving/stage/history.go
+++ b/proving/stage/history.go
@@ -10,7 +10,7 @@
 	"github.com/saffronpulley/saffronpulley/proving/platform"
 )
 
-// endedWorker is the books of a worker at the moment it was ended.
+// endedWorker is the history of a worker that was killed, up to that time.
 type endedWorker struct {
 	history platform.WorkerHistory
 	endedAt int64
@@ -24,12 +24,12 @@
 	}
 	status, body, _, err := s.post("GET", "http://"+address+"/control/books", nil, nil)
 	if err != nil || status != 200 {
-		return history, fmt.Errorf("the books of %s cannot be read: %d %w", name, status, err)
+		return history, fmt.Errorf("cannot read the history of %s: %d %w", name, status, err)
 	}
 	return history, json.Unmarshal(body, &history)
 }
 
-// saveHistory keeps the books of a worker that is about to be ended.
+// saveHistory saves the history of a worker that is about to be killed.
 func (s *Stage) saveHistory(name string) error {
 	history, err := s.history(name)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// allHistories returns the spans of all workers, dead ones closed at their death, with what was executed how often.
+// allHistories returns the spans of all workers, how often each request body was executed, and the number of
+// overcommitments. Open spans of killed workers end with the worker.
 func (s *Stage) allHistories() ([]platform.Span, map[string]int, int, error) {
 	var spans []platform.Span
 	executed := make(map[string]int)
@@ -51,35 +52,35 @@
 			executed[body] += n
 		}
 	}
-	for _, dead := range s.endedWorkers {
-		for i := range dead.history.Spans {
-			if dead.history.Spans[i].Until == 0 {
-				dead.history.Spans[i].Until = dead.endedAt
+	for _, ended := range s.endedWorkers {
+		for i := range ended.history.Spans {
+			if ended.history.Spans[i].Until == 0 {
+				ended.history.Spans[i].Until = ended.endedAt
 			}
 		}
-		add(dead.history)
+		add(ended.history)
 	}
 	for name, p := range s.processes {
 		if !strings.HasPrefix(name, "w") || !p.isRunning() {
 			continue
 		}
-		books, err := s.history(name)
+		history, err := s.history(name)
 		if err != nil {
 			return nil, nil, 0, err
 		}
-		add(books)
+		add(history)
 	}
 	return spans, executed, overcommitted, nil
 }
 
-// checkHistories judges the promises by the books of the workers.
+// checkHistories checks the invariants on the histories of all workers.
 func (s *Stage) checkHistories() error {
 	spans, _, overcommitted, err := s.allHistories()
 	if err != nil {
 		return err
 	}
 	if overcommitted > 0 {
-		return fmt.Errorf("a VM was committed beyond what it has %d times", overcommitted)
+		return fmt.Errorf("VMs were overcommitted %d times", overcommitted)
 	}
 	byTask := make(map[string][]platform.Span)
 	for _, span := range spans {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// checkTask checks that a task never ran in two places, that each run started once, and that it finished once.
+// checkTask checks that a task never ran in two places, that each run started once, and that the task finished at most once.
 func checkTask(key string, spans []platform.Span) error {
 	started := make(map[uint64]bool)
 	finished := 0
--- a/proving/stage/load.go
+++ b/proving/stage/load.go
@@ -28,7 +28,7 @@
 	l.done.Wait()
 }
 
-// startLoad sends requests to entries in turn, each with its own body that must come back.
+// startLoad sends requests to entries in turn, each with a unique body that the answer has to return.
 func (s *Stage) startLoad(name, service string, entries []string, perSecond int, headers map[string]string) error {
 	l := &load{quit: make(chan struct{}), results: make(map[string]int)}
 	balancer := &balancer{ready: make(map[string]bool)}
@@ -58,13 +58,13 @@
 	return nil
 }
 
-// balancer knows which entries say that they are ready, as the platform's balancer would.
+// balancer records which entries report that they are ready, as the platform's load balancer does.
 type balancer struct {
 	mu    sync.Mutex
 	ready map[string]bool
 }
 
-// order returns the URLs in turn, those that are ready first.
+// order returns the URLs in turn, the ready ones first.
 func (b *balancer) order(urls []string, n int) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,7 +82,7 @@
 
 const readyInterval = 50 * time.Millisecond
 
-// watchReady asks an entry whether it is ready; its address may change when it is started anew.
+// watchReady polls whether an entry is ready; its address may change when it is restarted.
 func (s *Stage) watchReady(l *load, b *balancer, entry, url string) {
 	for {
 		address, _ := s.address(entry, "admin")
@@ -98,7 +98,7 @@
 	}
 }
 
-// sendRequest sends a request, to the next entry where one refuses connections as the balancer would.
+// sendRequest sends a request and, as the load balancer does, tries the next entry if one refuses the connection.
 func (s *Stage) sendRequest(l *load, urls []string, body string, headers map[string]string) {
 	began := time.Now()
 	var result string
@@ -129,7 +129,7 @@
 	l.slowest = max(l.slowest, time.Since(began))
 }
 
-// summary returns what became of the requests.
+// summary returns the results of the requests as text.
 func (l *load) summary() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/proving/stage/process.go
+++ b/proving/stage/process.go
@@ -27,7 +27,7 @@
 	log       *logFile
 }
 
-// logFile keeps what a process wrote, for the report of a failure.
+// logFile keeps the output of a process for the report of a failure.
 type logFile struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -50,7 +50,7 @@
 
 var addressPattern = regexp.MustCompile(`(callers|peers|admin|requests|control|listening)[= ](\S+:\d+)`)
 
-// start runs the process and waits until it has said where it listens.
+// start runs the process and waits until it has reported its addresses.
 func (p *Process) start(binaries string) error {
 	p.command = exec.Command(filepath.Join(binaries, p.args[0]), p.args[1:]...)
 	reader, writer, err := os.Pipe()
@@ -75,9 +75,9 @@
 	case p.addresses = <-listening:
 		return nil
 	case <-ended:
-		return fmt.Errorf("%s ended at once: %s", p.name, p.log)
+		return fmt.Errorf("%s ended during its start: %s", p.name, p.log)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("%s does not say where it listens: %s", p.name, p.log)
+		return fmt.Errorf("%s did not report its addresses: %s", p.name, p.log)
 	}
 }
 
--- a/proving/stage/stage.go
+++ b/proving/stage/stage.go
@@ -17,7 +17,7 @@
 	"github.com/saffronpulley/saffronpulley/proving/relay"
 )
 
-// Stage is the processes of one scenario.
+// Stage holds the processes of one scenario.
 type Stage struct {
 	binaries string
 	dir      string
@@ -34,10 +34,10 @@
 	noRelays      bool
 }
 
-// Secret is what the processes of a stage share.
+// Secret is the shared secret of the processes of a stage.
 const Secret = "a-secret-of-the-stage"
 
-// New returns an empty stage that runs the binaries of a directory and writes settings to another.
+// New returns an empty stage that runs the programs in binaries and writes settings to dir.
 func New(binaries, dir string) *Stage {
 	return &Stage{
 		binaries: binaries, dir: dir,
@@ -47,22 +47,22 @@
 	}
 }
 
-// DisableRelays leaves the relays out, so that nothing stands between the processes that are measured.
+// DisableRelays connects the processes directly, for measurements.
 func (s *Stage) DisableRelays() { s.noRelays = true }
 
-// Do plays a verb of the scenarios.
+// Do runs a verb of the scenarios.
 func (s *Stage) Do(name string, args ...string) (string, error) {
 	run, ok := verbs[name]
 	if !ok {
-		return "", fmt.Errorf("there is no verb %s", name)
+		return "", fmt.Errorf("unknown verb %s", name)
 	}
 	return run(s, args)
 }
 
-// Address returns where a process listens.
+// Address returns the address of a process's listener.
 func (s *Stage) Address(name, listener string) string { return s.processes[name].addresses[listener] }
 
-// Processes returns the names of the processes that run with their identifiers.
+// Processes returns the process ids of the running processes by their names.
 func (s *Stage) Processes() map[string]int {
 	running := make(map[string]int)
 	for name, p := range s.processes {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Logs returns what the processes wrote.
+// Logs returns the output of all processes.
 func (s *Stage) Logs() string {
 	names := make([]string, 0, len(s.processes))
 	for name := range s.processes {
@@ -106,13 +106,13 @@
 func (s *Stage) process(name string) (*Process, error) {
 	p, ok := s.processes[name]
 	if !ok {
-		return nil, fmt.Errorf("there is no process %s", name)
+		return nil, fmt.Errorf("unknown process %s", name)
 	}
 	return p, nil
 }
 
-// address is where a process is reached by the stage. Callers and operators reach a daemon over a relay, whose
-// address stays the same over its starts.
+// address returns the address at which the stage reaches a process. Callers and operators reach a daemon through a relay,
+// whose address stays the same when the daemon restarts.
 func (s *Stage) address(name, listener string) (string, error) {
 	p, err := s.process(name)
 	if err != nil {
@@ -124,7 +124,8 @@
 	return p.addresses[listener], nil
 }
 
-// relay returns the address before a listener of a process, behind which connections can be cut.
+// relay returns the address of the relay to a process's listener, which can cut connections, and sets its target if one is
+// given.
 func (s *Stage) relay(name, listener, target string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +147,7 @@
 	return r.Address(), nil
 }
 
-// startStandin starts a stand-in and the relay before it.
+// startStandin starts a stand-in and the relay to it.
 func (s *Stage) startStandin(name string, args ...string) error {
 	p := &Process{name: name, args: append([]string{"standin", "--listen", "127.0.0.1:0"}, args...), log: &logFile{}}
 	s.processes[name] = p
@@ -157,7 +158,7 @@
 	return err
 }
 
-// defineDaemon writes the settings of a daemon; they hold for each of its starts.
+// defineDaemon writes the settings of a daemon, which apply to each of its starts.
 func (s *Stage) defineDaemon(name string, settings map[string]string) error {
 	s.mu.Lock()
 	source := "127.0.1." + strconv.Itoa(len(s.sources)+1)
@@ -202,7 +203,7 @@
 	return os.WriteFile(file, yaml(values), 0o600)
 }
 
-// yaml writes settings as YAML.
+// yaml returns settings as YAML.
 func yaml(values map[string]string) []byte {
 	keys := make([]string, 0, len(values))
 	for key := range values {
@@ -225,7 +226,7 @@
 	return out.Bytes()
 }
 
-// start starts a daemon, or a stand-in again, and points its relays to where it listens.
+// start starts a daemon, or restarts a stand-in, and points its relays to the new addresses.
 func (s *Stage) start(name string) error {
 	p, err := s.process(name)
 	if err != nil {
@@ -242,11 +243,11 @@
 	return nil
 }
 
-// setCut cuts or heals what a process sends to another.
+// setCut cuts or restores the traffic from one process to another.
 func (s *Stage) setCut(from, to string, cut bool) error {
 	source, ok := s.sources[from]
 	if !ok {
-		return fmt.Errorf("there is no daemon %s", from)
+		return fmt.Errorf("unknown daemon %s", from)
 	}
 	found := false
 	s.mu.Lock()
@@ -258,12 +259,12 @@
 		}
 	}
 	if !found {
-		return fmt.Errorf("nothing stands before %s", to)
+		return fmt.Errorf("no relay to %s", to)
 	}
 	return nil
 }
 
-// post sends a body to a path and returns the status, the body and the headers of the answer.
+// post sends a request and returns the status, the body and the headers of the answer.
 func (s *Stage) post(method, url string, body []byte, headers map[string]string) (int, []byte, http.Header, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -281,7 +282,7 @@
 	return response.StatusCode, content, response.Header, err
 }
 
-// eventually tries until there is no error or the time is over.
+// eventually repeats an attempt until it succeeds or the limit has passed.
 func eventually(limit time.Duration, attempt func() error) error {
 	end := time.Now().Add(limit)
 	for {
@@ -290,7 +291,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %s: %w", limit, err)
+			return fmt.Errorf("timed out after %s: %w", limit, err)
 		}
 		<-time.After(50 * time.Millisecond)
 	}
--- a/proving/stage/verbs.go
+++ b/proving/stage/verbs.go
@@ -74,12 +74,13 @@
 	return nil
 }
 
-// command makes a command of a verb: its text goes to the log, and its error, with the processes' logs, ends the script.
+// command makes a testscript command of a verb. It logs the verb's text and fails the script on an error; the file named by
+// STAGE_LOGS then gets the processes' output.
 func command(run func(*Stage, []string) (string, error)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		s, ok := ts.Value(stageKey).(*Stage)
 		if !ok {
-			ts.Fatalf("there is no stage")
+			ts.Fatalf("the script has no stage")
 		}
 		text, err := run(s, args)
 		if text != "" {
@@ -93,7 +94,7 @@
 			}
 			ts.Fatalf("%v", err)
 		case err == nil && neg:
-			ts.Fatalf("it went well, which it should not")
+			ts.Fatalf("the verb succeeded, but was expected to fail")
 		}
 	}
 }
@@ -109,7 +110,7 @@
 	}
 }
 
-// options splits words into those of the form key=value and the rest.
+// options splits arguments into options of the form key=value and the rest.
 func options(args []string) (map[string]string, []string) {
 	values := make(map[string]string)
 	var rest []string
@@ -130,9 +131,9 @@
 	return fallback
 }
 
-// cluster starts a store, a list, workers, agents and entries, and waits until they are ready.
+// cluster starts a store, a VM list, workers, agents and entries, and waits until they are ready.
 //
-// It takes entries=N, workers=N, racks=N (workers to a rack), hall=NAME, processors=N, and set.KEY=VALUE for settings.
+// It takes entries=N, workers=N, racks=N (workers per rack), hall=NAME, processors=N, and set.KEY=VALUE for settings.
 func (s *Stage) cluster(args []string) (string, error) {
 	values, _ := options(args)
 	for key, value := range values {
@@ -168,7 +169,7 @@
 	return "cordoba"
 }
 
-// addWorker starts a worker with its agent and puts it on the list.
+// addWorker starts a worker with its agent and adds it to the VM list.
 func (s *Stage) addWorker(number string, rack int, values map[string]string) error {
 	args := []string{"worker", "--instance", "vm-" + number}
 	for _, flag := range []string{"processors", "memory", "accelerators", "runtime", "service"} {
@@ -205,7 +206,7 @@
 	return "", err
 }
 
-// listVerb sets a line of the list: INSTANCE STATE [hall=NAME] [rack=N].
+// listVerb sets a line of the VM list: INSTANCE STATE [hall=NAME] [rack=N].
 func (s *Stage) listVerb(args []string) (string, error) {
 	values, rest := options(args)
 	return s.setVM(rest[0], hallOption(values), intOption(values, "rack", 1), rest[1])
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// crashVerb ends processes at once; a worker's books are kept.
+// crashVerb kills processes; a worker's history is saved first.
 func (s *Stage) crashVerb(args []string) (string, error) {
 	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
@@ -244,7 +245,7 @@
 	})
 }
 
-// termVerb stops processes in good order and waits for their end.
+// termVerb terminates processes gracefully and waits for their end.
 func (s *Stage) termVerb(args []string) (string, error) {
 	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
@@ -257,7 +258,7 @@
 		select {
 		case <-p.ended:
 		case <-time.After(30 * time.Second):
-			return fmt.Errorf("%s does not end", name)
+			return fmt.Errorf("%s did not end", name)
 		}
 		if p.exit != 0 {
 			return fmt.Errorf("%s ended with code %d: %s", name, p.exit, p.log)
@@ -280,7 +281,7 @@
 	})
 }
 
-// faultVerb tells a stand-in to fail: NAME FAULT, as its control path takes it.
+// faultVerb injects a fault into a stand-in: NAME FAULT, with FAULT as its control path takes it.
 func (s *Stage) faultVerb(args []string) (string, error) {
 	address, err := s.address(args[0], "listening")
 	if err != nil {
@@ -293,7 +294,7 @@
 	return "", err
 }
 
-// pauseVerb waits for a time; it is for letting a lease lapse, not for waiting for a state.
+// pauseVerb waits for a fixed time, such as the expiry of a lease. Waiting for a state is done with await.
 func (s *Stage) pauseVerb(args []string) (string, error) {
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
--- a/proving/stage/work.go
+++ b/proving/stage/work.go
@@ -16,7 +16,7 @@
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// errorBody is the part of an error answer that scenarios judge by.
+// errorBody is the part of an error answer that scenarios check.
 type errorBody struct {
 	Error struct {
 		Kind string `json:"kind"`
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("%d %s", status, answer), checkAnswer(values, status, answer, answered, took)
 }
 
-// raceVerb sends a request with one key through several entries at once, all of which must get its answer:
-// SERVICE KEY BODY ENTRY...
+// raceVerb sends requests with the same key through several entries at once, all of which must get the same answer: SERVICE
+// KEY BODY ENTRY...
 func (s *Stage) raceVerb(args []string) (string, error) {
 	results := make(chan error, len(args))
 	for _, entry := range args[3:] {
@@ -71,7 +71,7 @@
 	return "", errors.Join(all...)
 }
 
-// idleVerb checks that a worker runs no request for a time: NAME D.
+// idleVerb checks that a worker executes no request for a time: NAME D.
 func (s *Stage) idleVerb(args []string) (string, error) {
 	before, err := s.requestCount(args[0])
 	if err != nil {
@@ -82,12 +82,12 @@
 	}
 	after, err := s.requestCount(args[0])
 	if err == nil && after != before {
-		err = fmt.Errorf("%s ran %d requests", args[0], after-before)
+		err = fmt.Errorf("%s executed %d requests", args[0], after-before)
 	}
-	return fmt.Sprintf("%s ran %d requests before", args[0], before), err
+	return fmt.Sprintf("%s executed %d requests before", args[0], before), err
 }
 
-// requestCount is how many requests a worker has run.
+// requestCount returns how many requests a worker has executed.
 func (s *Stage) requestCount(name string) (int, error) {
 	books, err := s.history(name)
 	total := 0
@@ -97,7 +97,7 @@
 	return total, err
 }
 
-// checkAnswer checks an answer against what was wanted; each refusal that asks to return must say when.
+// checkAnswer checks an answer against the wanted status or error kinds; a 429 answer must have a Retry-After header.
 func checkAnswer(values map[string]string, status int, answer []byte, headers http.Header, took time.Duration) error {
 	want := values["want"]
 	if want == "" {
@@ -114,7 +114,7 @@
 		return fmt.Errorf("the answer %q is not that of the request %q", answer, values["body"])
 	}
 	if status == http.StatusTooManyRequests && headers.Get("Retry-After") == "" {
-		return errors.New("the refusal does not say when to return")
+		return errors.New("the answer has status 429 but no Retry-After header")
 	}
 	if limit := intOption(values, "within", 0); limit > 0 && took > time.Duration(limit)*time.Millisecond {
 		return fmt.Errorf("the answer took %s", took)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// jobVerb posts a job: NAME ENTRY WORKLOAD TASKS [key=K] [want=KIND]; or cancels it: cancel NAME ENTRY.
+// jobVerb submits a job: NAME ENTRY WORKLOAD TASKS [key=K] [want=KIND]; or cancels it: cancel NAME ENTRY.
 func (s *Stage) jobVerb(args []string) (string, error) {
 	values, rest := options(args)
 	if rest[0] == "cancel" {
@@ -156,7 +156,7 @@
 	return string(answer), nil
 }
 
-// postJob posts a job, again while it is refused for now if a retry is wanted.
+// postJob submits a job; with retry it repeats a submission that is answered with status 503.
 func (s *Stage) postJob(url, body string, retry bool) (int, []byte, error) {
 	var status int
 	var answer []byte
@@ -164,7 +164,7 @@
 		var err error
 		status, answer, _, err = s.post("POST", url, []byte(body), nil)
 		if err == nil && retry && status == http.StatusServiceUnavailable {
-			return fmt.Errorf("refused for now: %s", answer)
+			return fmt.Errorf("temporarily refused: %s", answer)
 		}
 		return err
 	})
@@ -183,7 +183,7 @@
 	return string(answer), err
 }
 
-// jobState is what an entry says of a job.
+// jobState is the state of a job in an entry's answer.
 type jobState struct {
 	State     string `json:"state"`
 	Tasks     int    `json:"tasks"`
@@ -202,12 +202,12 @@
 	}
 	status, answer, _, err := s.post("GET", "http://"+address+"/v1/jobs/"+s.jobs[name], nil, nil)
 	if err != nil || status != http.StatusOK {
-		return state, fmt.Errorf("the job cannot be read: %d %s %w", status, answer, err)
+		return state, fmt.Errorf("cannot read the job: %d %s %w", status, answer, err)
 	}
 	return state, json.Unmarshal(answer, &state)
 }
 
-// loadVerb sends steady requests: NAME SERVICE ENTRY... [rate=N] [repeat=yes] [deadline=MS].
+// loadVerb sends requests at a steady rate: NAME SERVICE ENTRY... [rate=N] [repeat=yes] [deadline=MS].
 func (s *Stage) loadVerb(args []string) (string, error) {
 	values, rest := options(args)
 	headers := map[string]string{"X-Deadline-Ms": "5000"}
@@ -220,12 +220,12 @@
 	return "", s.startLoad(rest[0], rest[1], rest[2:], intOption(values, "rate", 100), headers)
 }
 
-// unloadVerb ends a load and judges it: NAME [failed=N at most] [atleast=N answered].
+// unloadVerb ends a load and checks its results: NAME [failed=N at most] [atleast=N answered].
 func (s *Stage) unloadVerb(args []string) (string, error) {
 	values, rest := options(args)
 	l, ok := s.loads[rest[0]]
 	if !ok {
-		return "", fmt.Errorf("there is no load %s", rest[0])
+		return "", fmt.Errorf("unknown load %s", rest[0])
 	}
 	l.stop()
 	answered := l.results["200"]
@@ -241,7 +241,8 @@
 	return l.summary(), nil
 }
 
-// booksVerb judges by the workers' books, and with executed=BODY:N how often a request ran; times=BODY:N is at most N.
+// booksVerb checks the histories of the workers, and how often a request was executed: executed=BODY:N exactly,
+// atmost=BODY:N at most.
 func (s *Stage) booksVerb(args []string) (string, error) {
 	if err := s.checkHistories(); err != nil {
 		return "", err
@@ -255,11 +256,11 @@
 		body, count, _ := strings.Cut(value, ":")
 		want := intOption(map[string]string{"n": count}, "n", 0)
 		if key == "spans" && strconv.Itoa(len(spans)) != value {
-			return "", fmt.Errorf("the books hold %d runs, not %s", len(spans), value)
+			return "", fmt.Errorf("the histories contain %d runs, not %s", len(spans), value)
 		}
 		if (key == "executed" && executed[body] != want) || (key == "atmost" && executed[body] > want) {
 			return "", fmt.Errorf("%q was run %d times, not %s", body, executed[body], value)
 		}
 	}
-	return fmt.Sprintf("%d runs and %d request bodies in the books", len(spans), len(executed)), nil
+	return fmt.Sprintf("%d runs and %d request bodies in the histories", len(spans), len(executed)), nil
 }
