--- a/proving/cmd/bench/cells.go
+++ b/proving/cmd/bench/cells.go
@@ -23,7 +23,7 @@
 
 // benchCells measures each role with production timing, first idle and then at the specified rate of starts per VM.
 func benchCells(sizes []int) error {
-	fmt.Printf("\neach role, %s per phase; %d services and %d batch tasks per VM, churn of %.2f starts per second and VM\n\n",
+	fmt.Printf("\neach role, %s a phase; %d services and %d batch tasks for each VM, churn of %.2f starts a second for each VM\n\n",
 		measureTime, servicePerVM, tasksPerVM, churnPerVM)
 	fmt.Println("| agents | phase | role | core % | MiB | control B/s | store reads/s | store writes/s | document B |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -132,7 +132,7 @@
 		if count == 0 {
 			continue
 		}
-		fmt.Printf("| %d | %s | %s (max of %d) | %.2f | %.1f | %.0f | %.1f | %.1f | %d |\n", n, phase, role, count, cpuPercent, memory,
+		fmt.Printf("| %d | %s | %s (most of %d) | %.2f | %.1f | %.0f | %.1f | %.1f | %d |\n", n, phase, role, count, cpuPercent, memory,
 			byteRate, float64(callsAfter["reads"]-calls["reads"])/seconds, float64(callsAfter["writes"]-calls["writes"])/seconds, document)
 	}
 }
--- a/proving/cmd/bench/decisions.go
+++ b/proving/cmd/bench/decisions.go
@@ -50,7 +50,7 @@
 }
 
 func writeDay(name string, seeds []uint64, variants []decision.Variant, results [][]decision.Result) {
-	fmt.Printf("\n%s, seeds %v, median (min to max)\n\n", name, seeds)
+	fmt.Printf("\n%s, seeds %v, median (least to most)\n\n", name, seeds)
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprint(writer, "| column\t")
 	for _, m := range decision.Measures() {
