--- a/proving/cmd/soak/platform.go
+++ b/proving/cmd/soak/platform.go
@@ -9,8 +9,8 @@
 	"github.com/saffronpulley/saffronpulley/proving/fleet"
 )
 
-// jobEvery is the interval between submitted jobs.
-const jobEvery = 120 * time.Millisecond
+// jobInterval is the interval between submitted jobs.
+const jobInterval = 120 * time.Millisecond
 
 // platformSoak runs seeds on the stand-in for the users' platform, one after another, and keeps the logs of those that fail.
 type platformSoak struct {
@@ -60,7 +60,7 @@
 	logf := func(format string, args ...any) {
 		fmt.Fprintf(faults, "%s "+format+"\n", append([]any{time.Now().UTC().Format(time.RFC3339Nano)}, args...)...)
 	}
-	err = f.RunSoak(fleet.Soak{Seed: seed, Duration: p.length, JobInterval: jobEvery, Crashes: p.crashes, ReuseIDs: p.reuseIDs, LimitRates: p.limitRates, Logf: logf})
+	err = f.RunSoak(fleet.Soak{Seed: seed, Duration: p.length, JobInterval: jobInterval, CrashWorkers: p.crashes, ReuseIDs: p.reuseIDs, LimitRates: p.limitRates, Logf: logf})
 	crashing, harmless := f.Checker().GivenUp()
 	fmt.Printf("seed %d: %s; %d workers crashed by tasks, %d crashing jobs given up, %d others\n",
 		seed, f.Checker().Counts(), f.Checker().CrashCount(), crashing, harmless)
--- a/proving/decision/batch.go
+++ b/proving/decision/batch.go
@@ -57,7 +57,7 @@
 		}
 		w.lost = true
 		for _, r := range w.runs {
-			s.result.workLost += r.progress * float64(r.load.RuntimeS)
+			s.result.workLost += r.progress * float64(r.workload.RuntimeS)
 		}
 		w.runs = make(map[task.Run]*fakeRun)
 		s.document.LoseInstance(w.instance())
@@ -97,9 +97,9 @@
 				continue
 			}
 			contention := w.contention(s)
-			r.progress += float64(s.throttle(w, r)) / 100 / contention / float64(r.load.RuntimeS)
+			r.progress += float64(s.throttle(w, r)) / 100 / contention / float64(r.workload.RuntimeS)
 			if r.progress >= 1 {
-				s.result.workDone += float64(r.load.Processors) * float64(r.load.RuntimeS)
+				s.result.workDone += float64(r.workload.Processors) * float64(r.workload.RuntimeS)
 				s.endRun(w, run, task.Finished)
 			}
 		}
@@ -117,17 +117,17 @@
 func (s *sim) killForMemory(w *fakeWorker) {
 	used := float64(s.day.Service.Memory)
 	for _, r := range w.runs {
-		used += float64(r.load.Memory) * r.load.MemoryFactor
+		used += float64(r.workload.Memory) * r.workload.MemoryFactor
 	}
 	runs := w.sortedRuns()
-	slices.SortStableFunc(runs, func(a, b task.Run) int { return cmp.Compare(w.runs[b].started, w.runs[a].started) })
+	slices.SortStableFunc(runs, func(a, b task.Run) int { return cmp.Compare(w.runs[b].startedAt, w.runs[a].startedAt) })
 	for _, run := range runs {
 		if used <= float64(s.day.Memory) {
 			return
 		}
 		r := w.runs[run]
-		used -= float64(r.load.Memory) * r.load.MemoryFactor
-		s.result.workLost += r.progress * float64(r.load.RuntimeS)
+		used -= float64(r.workload.Memory) * r.workload.MemoryFactor
+		s.result.workLost += r.progress * float64(r.workload.RuntimeS)
 		s.endRun(w, run, task.Failed)
 	}
 }
@@ -136,7 +136,7 @@
 func (w *fakeWorker) contention(s *sim) float64 {
 	used := 0.0
 	for _, r := range w.runs {
-		used += float64(r.load.Processors) * r.load.CPUFactor * float64(s.throttle(w, r)) / 100
+		used += float64(r.workload.Processors) * r.workload.CPUFactor * float64(s.throttle(w, r)) / 100
 	}
 	if w.replica != nil {
 		used += float64(s.day.Service.Processors)
@@ -182,7 +182,7 @@
 	}
 	switch state {
 	case task.Finished:
-		s.estimate(r.load.Name).ObserveRuntime(s.now - r.started)
+		s.estimate(r.workload.Name).ObserveRuntime(s.now - r.startedAt)
 		workerProbation.Succeed(&w.health)
 	case task.Failed:
 		s.result.failures++
@@ -206,9 +206,9 @@
 func (s *sim) reportUsage(w *fakeWorker, second int) {
 	for _, run := range w.sortedRuns() {
 		r := w.runs[run]
-		use := r.load.CPUFactor * (0.9 + 0.2*s.random.Float64())
-		used := resource.New(int64(float64(r.load.Processors)*1000*use), int64(float64(r.load.Memory)*r.load.MemoryFactor), 0)
-		workload := r.load.Name
+		use := r.workload.CPUFactor * (0.9 + 0.2*s.random.Float64())
+		used := resource.New(int64(float64(r.workload.Processors)*1000*use), int64(float64(r.workload.Memory)*r.workload.MemoryFactor), 0)
+		workload := r.workload.Name
 		s.reports = append(s.reports, delayedReport{
 			arrivesAt: s.now + s.day.lag(second), apply: func() { s.estimate(workload).Observe(used) },
 		})
--- a/proving/decision/day.go
+++ b/proving/decision/day.go
@@ -49,7 +49,8 @@
 	Load []float64 `yaml:"load"`
 }
 
-// BatchLoad is a batch workload. The policies do not see its actual usage and its interference.
+// BatchLoad is a batch workload. The policies see its declared size, but neither its actual usage, which is CPUFactor and
+// MemoryFactor times that, nor its interference at each load band of the service.
 type BatchLoad struct {
 	Name       string `yaml:"name"`
 	Team       string `yaml:"team"`
@@ -76,7 +77,7 @@
 	Tasks    int    `yaml:"tasks"`
 }
 
-// WorkerEvent is an event at a worker that lasts from one second to another.
+// WorkerEvent is an event at a worker that lasts from one second to another, or to the end of the day if Until is 0.
 type WorkerEvent struct {
 	Worker int `yaml:"worker"`
 	From   int `yaml:"from"`
--- a/proving/decision/decide.go
+++ b/proving/decision/decide.go
@@ -119,7 +119,7 @@
 		if throttled {
 			share *= float64(s.throttle(w, r)) / remedy.Unthrottled
 		}
-		shares[r.load.Name] += share
+		shares[r.workload.Name] += share
 	}
 	names := slices.Sorted(maps.Keys(shares))
 	neighbors := make([]interference.Neighbor, 0, len(names))
@@ -192,7 +192,7 @@
 	if t.Checkpoint() != "" {
 		progress -= restoreSeconds / float64(load.RuntimeS)
 	}
-	w.runs[t.Run()] = &fakeRun{load: load, size: t.Size(), progress: progress, started: s.now}
+	w.runs[t.Run()] = &fakeRun{workload: load, size: t.Size(), progress: progress, startedAt: s.now}
 	workerProbation.StartTrial(&w.health)
 }
 
--- a/proving/decision/sim.go
+++ b/proving/decision/sim.go
@@ -26,7 +26,7 @@
 	day       *Day
 	variant   Variant
 	random    *rand.Rand
-	began     time.Time
+	dayStart  time.Time
 	now       time.Duration
 	rows      table.Table
 	document  *cell.Document
@@ -60,10 +60,10 @@
 }
 
 type fakeRun struct {
-	load     *BatchLoad
-	size     resource.Vector
-	progress float64
-	started  time.Duration
+	workload  *BatchLoad
+	size      resource.Vector
+	progress  float64
+	startedAt time.Duration
 }
 
 // fakeReplica is the replica of the service on a worker.
@@ -80,7 +80,7 @@
 type request struct {
 	arrivedAt time.Duration
 	replica   *fakeReplica
-	began     time.Duration
+	startedAt time.Duration
 	endsAt    time.Duration
 }
 
@@ -110,7 +110,7 @@
 // Run simulates a day under a variant with a seed.
 func Run(day *Day, variant Variant, seed uint64) (Result, error) {
 	s := &sim{
-		day: day, variant: variant, random: rand.New(rand.NewPCG(seed, 1)), began: time.Unix(1_700_000_000, 0),
+		day: day, variant: variant, random: rand.New(rand.NewPCG(seed, 1)), dayStart: time.Unix(1_700_000_000, 0),
 		document: cell.New(), model: interference.New(), sizes: make(map[string]*sizing.Estimate),
 		notBefore: make(map[task.ID]time.Time), workloads: make(map[string]*BatchLoad), jobs: make(map[string]time.Duration),
 		window: hdrhistogram.New(1, 60_000_000, 3),
@@ -143,7 +143,7 @@
 	if err != nil {
 		return table.Table{}, err
 	}
-	return table.Table{}.Apply(table.NewEdit(0, rows, "bench", "bench"), s.began)
+	return table.Table{}.Apply(table.NewEdit(0, rows, "bench", "bench"), s.dayStart)
 }
 
 // serviceWorkers returns how many workers the service runs on.
@@ -154,7 +154,7 @@
 	return s.day.Workers
 }
 
-func (s *sim) clock() time.Time { return s.began.Add(s.now) }
+func (s *sim) clock() time.Time { return s.dayStart.Add(s.now) }
 
 // runSecond simulates one second: the decisions first, then the requests.
 func (s *sim) runSecond(second int) {
@@ -175,9 +175,9 @@
 		used, interferenceSum := 0.0, 0.0
 		band := interference.BandOf(s.day.slotShare(float64(second)) * float64(s.day.Workers) / float64(max(len(s.replicas), 1)))
 		for _, r := range w.runs {
-			share := float64(r.load.Processors) * r.load.CPUFactor * float64(s.throttle(w, r)) / 100 / float64(s.day.Processors)
+			share := float64(r.workload.Processors) * r.workload.CPUFactor * float64(s.throttle(w, r)) / 100 / float64(s.day.Processors)
 			used += share
-			interferenceSum += share * r.load.Interference[band] * s.day.interferenceFactor(second, r.load.Name)
+			interferenceSum += share * r.workload.Interference[band] * s.day.interferenceFactor(second, r.workload.Name)
 		}
 		if w.replica != nil {
 			used += float64(s.day.Service.Processors) / float64(s.day.Processors)
@@ -191,7 +191,7 @@
 	if s.variant.noThrottle {
 		return remedy.Unthrottled
 	}
-	return w.remedy.Throttle(r.load.Name)
+	return w.remedy.Throttle(r.workload.Name)
 }
 
 // runRequests simulates the requests of a second: each is routed to the better of two replicas, waits and runs there.
@@ -280,7 +280,7 @@
 	v := s.day.Service
 	mean := v.MeanMs * r.replica.worker.trueSlowdown
 	millis := mean * math.Exp(v.Sigma*s.random.NormFloat64()-v.Sigma*v.Sigma/2)
-	r.began = s.now
+	r.startedAt = s.now
 	r.endsAt = s.now + time.Duration(millis*float64(time.Millisecond))
 	heap.Push(&s.events, r)
 }
@@ -289,8 +289,8 @@
 	r := heap.Pop(&s.events).(request)
 	s.now = r.endsAt
 	replica := r.replica
-	replica.limiter.Finish(r.endsAt - r.began)
-	replica.totalRuntime += r.endsAt - r.began
+	replica.limiter.Finish(r.endsAt - r.startedAt)
+	replica.totalRuntime += r.endsAt - r.startedAt
 	latency := (r.endsAt - r.arrivedAt).Microseconds()
 	_ = replica.window.RecordValue(latency)
 	_ = s.window.RecordValue(latency)
--- a/proving/fleet/fleet_test.go
+++ b/proving/fleet/fleet_test.go
@@ -40,7 +40,7 @@
 
 // TestSoakOfReturningWorkers runs seeds in which tasks crash workers, which restart under ids used before.
 func TestSoakOfReturningWorkers(t *testing.T) {
-	runSeeds(t, "testdata/seeds_returning.txt", Size{Entries: 3, Agents: 6}, Soak{Duration: 12 * time.Second, Crashes: true, ReuseIDs: true})
+	runSeeds(t, "testdata/seeds_returning.txt", Size{Entries: 3, Agents: 6}, Soak{Duration: 12 * time.Second, CrashWorkers: true, ReuseIDs: true})
 }
 
 // TestSoakWithRates runs seeds in which the store is rate limited in alternating periods.
--- a/proving/fleet/soak.go
+++ b/proving/fleet/soak.go
@@ -13,8 +13,8 @@
 	// Duration is how long faults are injected, JobInterval the interval between submitted jobs.
 	Duration    time.Duration
 	JobInterval time.Duration
-	// Crashes makes some of the jobs crash their workers, every second time with the agent.
-	Crashes bool
+	// CrashWorkers makes some of the jobs crash their workers, every second time with the agent.
+	CrashWorkers bool
 	// ReuseIDs makes workers restart under ids used before.
 	ReuseIDs bool
 	// LimitRates makes the store rate limited in alternating periods.
@@ -41,8 +41,8 @@
 // RunSoak injects overlapping faults and returns an error that lists the violations.
 func (f *Fleet) RunSoak(s Soak) error {
 	caller, stop := NewCaller(f, s.Seed), make(chan struct{})
-	caller.CrashWorkers = s.Crashes
-	if s.Crashes {
+	caller.CrashWorkers = s.CrashWorkers
+	if s.CrashWorkers {
 		f.crashAgentsWithWorkers()
 	}
 	if s.ReuseIDs {
--- a/proving/platform/vms.go
+++ b/proving/platform/vms.go
@@ -61,10 +61,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	lines := []vmlist.Wire{}
-	visibleSince := time.Now().Add(-v.lag)
+	cutoff := time.Now().Add(-v.lag)
 	for _, versions := range v.lines {
 		for i := len(versions) - 1; i >= 0; i-- {
-			if versions[i].at.Before(visibleSince) {
+			if versions[i].at.Before(cutoff) {
 				lines = append(lines, versions[i].line)
 				break
 			}
--- a/proving/relay/relay.go
+++ b/proving/relay/relay.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Drop drops all bytes in the given directions; 0 forwards all again and resets all connections.
+// Drop discards all bytes in the given directions; 0 forwards all again and resets all connections.
 func (r *Relay) Drop(directions Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,9 +129,9 @@
 // reset closes the connections of the matching sources, as happens to hung connections after a network recovers; r.mu is
 // held.
 func (r *Relay) reset(matches func(source string) bool) {
-	for link, source := range r.sources {
+	for conn, source := range r.sources {
 		if matches(source) {
-			_ = link.Close()
+			_ = conn.Close()
 		}
 	}
 }
@@ -140,77 +140,77 @@
 func (r *Relay) SilenceOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for link := range r.sources {
-		r.silenced[link] = true
+	for conn := range r.sources {
+		r.silenced[conn] = true
 	}
 }
 
 // drops reports whether bytes of a connection are dropped in a direction, and otherwise their delay.
-func (r *Relay) drops(link net.Conn, source string, direction Direction) (bool, time.Duration) {
+func (r *Relay) drops(conn net.Conn, source string, direction Direction) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut[source] || r.silenced[link] || r.dropped&direction != 0, r.delay
+	return r.cut[source] || r.silenced[conn] || r.dropped&direction != 0, r.delay
 }
 
 // accept serves each connection until the listener is closed.
 func (r *Relay) accept(listener net.Listener) {
 	for {
-		link, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(link)
+		go r.serve(conn)
 	}
 }
 
 // serve forwards the bytes of a connection in both directions until either end is closed.
-func (r *Relay) serve(link net.Conn) {
-	source, _, _ := net.SplitHostPort(link.RemoteAddr().String())
-	target := r.add(link, source)
-	defer r.remove(link)
+func (r *Relay) serve(conn net.Conn) {
+	source, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+	target := r.add(conn, source)
+	defer r.remove(conn)
 	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = link.Close()
+		_ = conn.Close()
 		return
 	}
 	done := make(chan struct{}, 2)
-	go func() { r.copy(upstream, link, stream{link, source, ToTarget}); done <- struct{}{} }()
-	go func() { r.copy(link, upstream, stream{link, source, FromTarget}); done <- struct{}{} }()
+	go func() { r.copy(upstream, conn, stream{conn, source, ToTarget}); done <- struct{}{} }()
+	go func() { r.copy(conn, upstream, stream{conn, source, FromTarget}); done <- struct{}{} }()
 	<-done
-	_ = link.Close()
+	_ = conn.Close()
 	_ = upstream.Close()
 	<-done
 }
 
 // add registers an open connection and returns its target.
-func (r *Relay) add(link net.Conn, source string) string {
+func (r *Relay) add(conn net.Conn, source string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sources[link] = source
+	r.sources[conn] = source
 	return r.target
 }
 
 // remove removes a closed connection.
-func (r *Relay) remove(link net.Conn) {
+func (r *Relay) remove(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.sources, link)
-	delete(r.silenced, link)
+	delete(r.sources, conn)
+	delete(r.silenced, conn)
 }
 
 // stream is one direction of a connection.
 type stream struct {
-	link      net.Conn
+	conn      net.Conn
 	source    string
 	direction Direction
 }
 
 // copy forwards bytes after the relay's delay and discards those to be dropped.
-func (r *Relay) copy(to io.Writer, from io.Reader, p stream) {
+func (r *Relay) copy(to io.Writer, from io.Reader, s stream) {
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		drop, delay := r.drops(p.link, p.source, p.direction)
+		drop, delay := r.drops(s.conn, s.source, s.direction)
 		if n > 0 && !drop {
 			<-time.After(delay)
 			if _, err := to.Write(buffer[:n]); err != nil {
--- a/proving/stage/await.go
+++ b/proving/stage/await.go
@@ -32,7 +32,7 @@
 	return r, json.Unmarshal(body, &r)
 }
 
-// awaitReady waits until each entry is ready and knows all workers.
+// awaitReady waits until each entry is ready and lists all workers.
 func (s *Stage) awaitReady(workers int) error {
 	return eventually(awaitTimeout, func() error {
 		for name, p := range s.processes {
@@ -69,7 +69,7 @@
 		}
 	}
 	if live < workers {
-		return fmt.Errorf("%s knows %d live workers of %d", entry, live, workers)
+		return fmt.Errorf("%s lists %d live workers of %d", entry, live, workers)
 	}
 	return nil
 }
@@ -202,7 +202,7 @@
 		}
 	}
 	if strconv.Itoa(running) != want || strconv.Itoa(r.Endpoints[service]) != want {
-		return fmt.Errorf("%d replicas of %s run, and the entry knows %d", running, service, r.Endpoints[service])
+		return fmt.Errorf("%d replicas of %s run, and the entry lists %d", running, service, r.Endpoints[service])
 	}
 	return nil
 }
--- a/proving/stage/work.go
+++ b/proving/stage/work.go
@@ -46,12 +46,12 @@
 		}
 	}
 	began := time.Now()
-	status, answer, answered, err := s.post("POST", "http://"+address+"/v1/services/"+rest[1], []byte(values["body"]), headers)
+	status, answer, responseHeaders, err := s.post("POST", "http://"+address+"/v1/services/"+rest[1], []byte(values["body"]), headers)
 	took := time.Since(began)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d %s", status, answer), checkAnswer(values, status, answer, answered, took)
+	return fmt.Sprintf("%d %s", status, answer), checkAnswer(values, status, answer, responseHeaders, took)
 }
 
 // raceVerb sends requests with the same key through several entries at once, all of which must get the same answer: SERVICE
@@ -89,9 +89,9 @@
 
 // requestCount returns how many requests a worker has executed.
 func (s *Stage) requestCount(name string) (int, error) {
-	books, err := s.history(name)
+	history, err := s.history(name)
 	total := 0
-	for _, n := range books.Executed {
+	for _, n := range history.Executed {
 		total += n
 	}
 	return total, err
