--- a/proving/cmd/bench/cells.go
+++ b/proving/cmd/bench/cells.go
@@ -21,7 +21,7 @@
 	churnPerVM   = 0.12
 )
 
-// benchCells measures each role with production timing, first idle and then at the specified rate of starts per VM.
+// benchCells measures each role with production timing, first idle and then at the rate churnPerVM of starts.
 func benchCells(sizes []int) error {
 	fmt.Printf("\neach role, %s a phase; %d services and %d batch tasks for each VM, churn of %.2f starts a second for each VM\n\n",
 		measureTime, servicePerVM, tasksPerVM, churnPerVM)
--- a/proving/cmd/bench/decisions.go
+++ b/proving/cmd/bench/decisions.go
@@ -61,11 +61,11 @@
 		fmt.Fprint(writer, "| ---\t")
 	}
 	fmt.Fprintln(writer, "|")
-	for c, column := range variants {
+	for c, variant := range variants {
 		if results[c] == nil {
 			continue
 		}
-		fmt.Fprintf(writer, "| %s\t", column.Name())
+		fmt.Fprintf(writer, "| %s\t", variant.Name())
 		for _, m := range decision.Measures() {
 			median, low, high := decision.Median(results[c], m)
 			fmt.Fprintf(writer, "| %.4g (%.4g to %.4g)\t", median, low, high)
--- a/proving/cmd/soak/main.go
+++ b/proving/cmd/soak/main.go
@@ -27,10 +27,10 @@
 )
 
 func main() {
-	app := kingpin.New("soak", "Runs real processes under failures.")
-	ownInterface := app.Command("own", "The product's own interface, at production size.")
+	app := kingpin.New("soak", "Runs real processes under faults.")
+	ownInterface := app.Command("own", "The product's own interface, at the users' current size.")
 	length := ownInterface.Flag("for", "Duration of the soak.").Default("5m").Duration()
-	seed := ownInterface.Flag("seed", "Seed of the failures.").Default("1").Uint64()
+	seed := ownInterface.Flag("seed", "Seed of the faults.").Default("1").Uint64()
 	onPlatform := app.Command("platform", "The users' platform, one seed after another.").Default()
 	var p platformSoak
 	onPlatform.Flag("first", "First seed.").Default("1").Uint64Var(&p.first)
--- a/proving/cmd/standin/main.go
+++ b/proving/cmd/standin/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	app := kingpin.New("standin", "Stands in for the platform, in tests.")
+	app := kingpin.New("standin", "Runs a stand-in for the platform in tests.")
 	listen := app.Flag("listen", "Address to listen on.").Required().String()
 	store := app.Command("store", "The key-value service.")
 	vms := app.Command("vms", "The list of VMs.")
--- a/proving/stage/await.go
+++ b/proving/stage/await.go
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// awaitVerb waits for a state, [within=D] at most: job NAME ENTRY STATE | evictions NAME ENTRY N | running SERVICE ENTRY N |
-// placed NAME ENTRY N | lead ENTRY [not=AGENT] | worker INSTANCE ENTRY STATE | ready N | table ENTRY VERSION | executed BODY
-// N.
+// awaitVerb waits for a state, with [within=D] in place of awaitTimeout:
+// job NAME ENTRY STATE | evictions NAME ENTRY N | running SERVICE ENTRY N | placed NAME ENTRY N |
+// lead ENTRY [not=AGENT] | worker INSTANCE ENTRY STATE | ready N | table ENTRY VERSION | executed BODY N.
 func (s *Stage) awaitVerb(args []string) (string, error) {
 	values, rest := options(args)
 	limit := awaitTimeout
--- a/proving/stage/work.go
+++ b/proving/stage/work.go
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("%d %s", status, answer), checkAnswer(values, status, answer, responseHeaders, took)
 }
 
-// raceVerb sends requests with the same key through several entries at once, all of which must get the same answer: SERVICE
-// KEY BODY ENTRY...
+// raceVerb sends requests with the same key through several entries concurrently, all of which must get its answer:
+// SERVICE KEY BODY ENTRY...
 func (s *Stage) raceVerb(args []string) (string, error) {
 	results := make(chan error, len(args))
 	for _, entry := range args[3:] {
@@ -241,8 +241,8 @@
 	return l.summary(), nil
 }
 
-// booksVerb checks the histories of the workers, and how often a request was executed: executed=BODY:N exactly,
-// atmost=BODY:N at most.
+// booksVerb checks the histories of the workers, with spans=N their number of runs, and how often a request was executed:
+// executed=BODY:N exactly, atmost=BODY:N at most.
 func (s *Stage) booksVerb(args []string) (string, error) {
 	if err := s.checkHistories(); err != nil {
 		return "", err
