--- a/proving/fleet/caller.go
+++ b/proving/fleet/caller.go
@@ -189,7 +189,7 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + entry.callers + prefix + string(id))
+	request.SetRequestURI("http://" + entry.callers + pathPrefix + string(id))
 	request.UseHostHeader = true
 	request.Header.SetHost(queueHost)
 	request.Header.SetMethod(method)
--- a/proving/fleet/closures.go
+++ b/proving/fleet/closures.go
@@ -48,9 +48,9 @@
 
 // setClosed closes or opens a hall as an operator.
 func (f *Fleet) setClosed(hall string, closed bool) {
-	update := func() error { return f.store.Remove(closures + hall) }
+	update := func() error { return f.store.Remove(closurePrefix + hall) }
 	if closed {
-		update = func() error { return f.store.Put(closures+hall, []byte("{}")) }
+		update = func() error { return f.store.Put(closurePrefix+hall, []byte("{}")) }
 	}
 	f.checker.RecordClosure(hall, closed, update())
 }
--- a/proving/fleet/identity.go
+++ b/proving/fleet/identity.go
@@ -17,15 +17,15 @@
 // IdentityFunc returns the identity of a worker's n-th incarnation.
 type IdentityFunc func(name string, n int) identity
 
-// FreshID returns an id that no other incarnation has.
+// FreshID returns an identity with a unique id, without a start time.
 func FreshID(name string, n int) identity { return identity{instance: fmt.Sprintf("i-%s-%d", name, n)} }
 
-// SameIDClockAhead returns the same id for all incarnations, with a clock that is ahead of the previous one.
+// SameIDClockAhead returns an identity with the worker's one id and a clock that is ahead of the previous one.
 func SameIDClockAhead(name string, n int) identity {
 	return identity{instance: "i-" + name, startMillis: time.Now().UnixMilli(), clockStart: time.Duration(n) * time.Hour}
 }
 
-// SameIDClockBehind returns the same id for all incarnations, with a clock that is behind the previous one.
+// SameIDClockBehind returns an identity with the worker's one id and a clock that is behind the previous one.
 func SameIDClockBehind(name string, n int) identity {
 	return identity{instance: "i-" + name, startMillis: time.Now().UnixMilli(), clockStart: time.Duration(100-n) * time.Hour}
 }
--- a/proving/fleet/return_test.go
+++ b/proving/fleet/return_test.go
@@ -19,7 +19,8 @@
 //
 // A worker crashes and returns within a second under the same id, with a clock that is behind. The agent identified a worker
 // by its id alone and ignored answers of the new incarnation as superseded until its clock had passed the old one's; until
-// then it reported runs that had ended. One agent accepted its worker 42 s after the crash, 38 s after the worker was up.
+// then it reported runs that had ended. One agent accepted its worker 42 s after the crash, 38 s after the worker was
+// up; agents logged the answers they ignored as superseded.
 func TestLastingTaskRunsAgainAfterItsWorkerReturnsUnderItsID(t *testing.T) {
 	t.Parallel()
 	f, err := New(Size{Entries: 2, Agents: 3}, binaries, t.TempDir())
--- a/proving/fleet/settings.go
+++ b/proving/fleet/settings.go
@@ -8,11 +8,11 @@
 
 // Names shared by the configuration, the workers and the callers.
 const (
-	service   = "desk"
-	queueHost = "jobs.example"
-	prefix    = "/q/"
-	policyKey = "op/config"
-	closures  = "op/evacuate/"
+	service       = "desk"
+	queueHost     = "jobs.example"
+	pathPrefix    = "/q/"
+	configKey     = "op/config"
+	closurePrefix = "op/evacuate/"
 )
 
 // halls are the halls of a fleet, to which entries and agents are assigned in turn.
@@ -37,7 +37,7 @@
 	value, err := json.Marshal(map[string]any{
 		"version": version,
 		"routes": []map[string]any{{
-			"name": "queue", "host": queueHost, "path-prefix": prefix, "timeout-ms": 3000, "target-latency-ms": 1000,
+			"name": "queue", "host": queueHost, "path-prefix": pathPrefix, "timeout-ms": 3000, "target-latency-ms": 1000,
 			"priority": 0, "service": service, "attempts": 3, "stretch": 2.0,
 		}},
 		"services": []map[string]any{{"name": service, "admission-check": false}},
@@ -46,5 +46,5 @@
 	if err != nil {
 		return err
 	}
-	return f.store.Put(policyKey, value)
+	return f.store.Put(configKey, value)
 }
