--- a/proving/decision/column.go
+++ b/proving/decision/variant.go
@@ -4,43 +4,43 @@
 	"github.com/saffronpulley/saffronpulley/internal/scheduling"
 )
 
-// placer is how a column chooses the worker of a batch task.
+// placer is how a variant selects the worker of a batch task.
 type placer int
 
 const (
-	planned placer = iota
+	scheduler placer = iota
 	firstFit
 	leastLoaded
 )
 
-// Column is one way of deciding; the zero value is ours.
-type Column struct {
-	name        string
-	placer      placer
-	options     scheduling.Options
-	noBatch     bool
-	separate    bool
-	noThrottle  bool
-	noEvict     bool
-	evictBreach bool
-	noProbation bool
-	noAdmission bool
-	noBalance   bool
+// Variant is a variant of the policies, by default the product's own without changes.
+type Variant struct {
+	name             string
+	placer           placer
+	options          scheduling.Options
+	noBatch          bool
+	dedicated        bool
+	noThrottle       bool
+	noEvict          bool
+	evictOnViolation bool
+	noProbation      bool
+	noAdmission      bool
+	noBalancing      bool
 }
 
-// Name returns the name of the column.
-func (c Column) Name() string { return c.name }
+// Name returns the name of the variant, which the bench command calls a column.
+func (v Variant) Name() string { return v.name }
 
-// Columns returns ours, the simpler ways, and ours with each part turned off.
-func Columns() []Column {
-	return []Column{
+// Variants returns the product's policies, simpler ones for comparison, and the product's with each part turned off.
+func Variants() []Variant {
+	return []Variant{
 		{name: "no batch work", noBatch: true},
 		{name: "ours"},
 		{name: "first fit, declared", placer: firstFit, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "least loaded, declared", placer: leastLoaded, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
-		{name: "static reservation", placer: leastLoaded, separate: true, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
+		{name: "static reservation", placer: leastLoaded, dedicated: true, noThrottle: true, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "throttle only", placer: leastLoaded, noEvict: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
-		{name: "evict on breach", placer: leastLoaded, noThrottle: true, evictBreach: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
+		{name: "evict on breach", placer: leastLoaded, noThrottle: true, evictOnViolation: true, noProbation: true, options: scheduling.Options{NoSizing: true}},
 		{name: "ours without sizing", options: scheduling.Options{NoSizing: true}},
 		{name: "ours without interference", options: scheduling.Options{NoInterference: true}},
 		{name: "ours without pressure", options: scheduling.Options{NoBatchBlocking: true}},
@@ -49,6 +49,6 @@
 		{name: "ours without eviction", noEvict: true},
 		{name: "ours without probation", noProbation: true},
 		{name: "ours without admission", noAdmission: true},
-		{name: "ours without balancing", noBalance: true},
+		{name: "ours without balancing", noBalancing: true},
 	}
 }
--- a/proving/fleet/closures.go
+++ b/proving/fleet/closures.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// closedBound is how long after a hall was closed tasks may still be started there: the platform allows 5 s to a process that
-// nothing disturbs, and the soak disturbs all.
-const closedBound = 12 * time.Second
+// closureGrace is how long after the closure of a hall tasks may still start there: the platform allows 5 s to a process
+// without faults, and the soak injects faults into all.
+const closureGrace = 12 * time.Second
 
-// How long a hall is open before it is closed and how long it is closed then, in milliseconds: the least, and below how much more.
+// The time in milliseconds that a hall stays open, and then closed: the minimum and the width of the random range above it.
 const (
-	leastOpen   = 500
-	moreOpen    = 5000
-	leastClosed = 500
-	moreClosed  = 18000
+	minOpenMillis     = 500
+	openRangeMillis   = 5000
+	minClosedMillis   = 500
+	closedRangeMillis = 18000
 )
 
-// closeHalls closes a hall every so often and opens it again, until stop is closed; then all are open.
+// closeHalls closes and opens a random hall repeatedly until stop is closed; then all are open.
 func (f *Fleet) closeHalls(s Soak, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(s.Seed, 13))
 	for {
 		hall := halls[random.IntN(len(halls))]
-		if !pause(stop, time.Duration(leastOpen+random.IntN(moreOpen))*time.Millisecond) {
+		if !sleep(stop, time.Duration(minOpenMillis+random.IntN(openRangeMillis))*time.Millisecond) {
 			return
 		}
-		s.Say("hall %s is closed", hall)
+		s.Logf("hall %s is closed", hall)
 		f.setClosed(hall, true)
-		goesOn := pause(stop, time.Duration(leastClosed+random.IntN(moreClosed))*time.Millisecond)
-		s.Say("hall %s is open again", hall)
+		elapsed := sleep(stop, time.Duration(minClosedMillis+random.IntN(closedRangeMillis))*time.Millisecond)
+		s.Logf("hall %s is open again", hall)
 		f.setClosed(hall, false)
-		if !goesOn {
+		if !elapsed {
 			return
 		}
 	}
 }
 
-// pause waits and reports whether the time passed before stop was closed.
-func pause(stop <-chan struct{}, d time.Duration) bool {
+// sleep waits for d and reports whether it elapsed before stop was closed.
+func sleep(stop <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-stop:
 		return false
@@ -46,11 +46,11 @@
 	}
 }
 
-// setClosed closes or opens a hall as the operators do.
+// setClosed closes or opens a hall as an operator.
 func (f *Fleet) setClosed(hall string, closed bool) {
-	change := func() error { return f.store.Remove(closures + hall) }
+	update := func() error { return f.store.Remove(closurePrefix + hall) }
 	if closed {
-		change = func() error { return f.store.Put(closures+hall, []byte("{}")) }
+		update = func() error { return f.store.Put(closurePrefix+hall, []byte("{}")) }
 	}
-	f.books.Closed(hall, closed, change())
+	f.checker.RecordClosure(hall, closed, update())
 }
--- a/proving/fleet/heartbeat.go
+++ b/proving/fleet/heartbeat.go
@@ -7,36 +7,36 @@
 	"github.com/valyala/fasthttp"
 )
 
-// heartbeatEvery is how often a worker reports to the agent beside it.
-const heartbeatEvery = 300 * time.Millisecond
+// heartbeatInterval is the interval of a worker's reports to its agent.
+const heartbeatInterval = 300 * time.Millisecond
 
 // heartbeatTimeout bounds one heartbeat.
 const heartbeatTimeout = time.Second
 
-// heartbeat is a report of a life of a worker.
+// heartbeat is a report of an incarnation of a worker.
 type heartbeat struct {
 	instance string
 	body     []byte
 }
 
-// heartbeat reports the worker to the agent once.
-func (w *Worker) heartbeat() { w.send(w.composeHeartbeat()) }
+// heartbeat sends one report to the agent.
+func (w *Worker) heartbeat() { w.send(w.nextHeartbeat()) }
 
-// composeHeartbeat returns the next report of the present life.
-func (w *Worker) composeHeartbeat() heartbeat {
+// nextHeartbeat returns the next report of the current incarnation.
+func (w *Worker) nextHeartbeat() heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.life.sequence++
-	l := w.life
-	body, _ := json.Marshal(l.describe(map[string]any{
+	w.incarnation.sequence++
+	inc := w.incarnation
+	body, _ := json.Marshal(inc.withStartTime(map[string]any{
 		"service": service, "address": "", "zone": w.hall, "version": "v1", "slots": 8, "state": "ready",
-		"capacity": map[string]int{"cpu": w.room.CPU, "mem-mb": w.room.Memory}, "labels": []string{"a", "r1-1"},
-		"clock-ms": l.clock(), "sequence": l.sequence,
+		"capacity": map[string]int{"cpu": w.capacity.CPU, "mem-mb": w.capacity.Memory}, "labels": []string{"a", "r1-1"},
+		"clock-ms": inc.clock(), "sequence": inc.sequence,
 	}))
-	return heartbeat{instance: l.instance, body: body}
+	return heartbeat{instance: inc.instance, body: body}
 }
 
-// send gives the agent a report.
+// send sends a report to the agent.
 func (w *Worker) send(h heartbeat) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -44,6 +44,6 @@
 	request.SetRequestURI("http://" + w.agent + "/instances/" + h.instance + "/heartbeat")
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBodyRaw(h.body)
-	// An agent that does not answer is told again with the next report.
+	// The next report makes up for one without an answer.
 	_ = fasthttp.DoTimeout(request, response, heartbeatTimeout)
 }
--- /dev/null
+++ b/proving/fleet/incarnation.go
@@ -0,0 +1,118 @@
+package fleet
+
+import (
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"github.com/saffronpulley/saffronpulley/internal/job"
+)
+
+// maxLease is the longest lease that a worker accepts, as on the users' sites.
+const maxLease = 6 * time.Second
+
+// incarnation is the time of a worker from a start to the next crash.
+type incarnation struct {
+	identity
+	// key identifies the incarnation among those of all workers.
+	key   string
+	start time.Time
+	// firstCall is when the first call reached the incarnation, zero if none has.
+	firstCall time.Time
+	sequence  uint64
+	fence     uint64
+	leaseEnd  time.Time
+	running   map[job.TaskID]*run
+	lastRuns  map[job.TaskID]int
+	endedRuns []endedRun
+	lastEnd   uint64
+}
+
+// run is a task's run in progress.
+type run struct {
+	number     int
+	step       job.Step
+	remaining  time.Duration
+	advancedAt time.Time
+	percent    int
+}
+
+// endedRun is a run whose end is not acknowledged yet.
+type endedRun struct {
+	number uint64
+	task   job.TaskID
+	run    int
+	kind   job.End
+	// lapsed says that the worker's lease expired between the end of the run and its acknowledgement.
+	lapsed bool
+}
+
+// newIncarnation returns an incarnation without runs.
+func newIncarnation(id identity) *incarnation {
+	return &incarnation{
+		identity: id, key: fmt.Sprintf("%s/%d/%d", id.instance, id.startMillis, incarnationCount.Add(1)), start: time.Now(),
+		running: make(map[job.TaskID]*run), lastRuns: make(map[job.TaskID]int),
+	}
+}
+
+// incarnationCount counts the incarnations of all workers.
+var incarnationCount atomic.Int64
+
+// clock returns the monotonic clock in milliseconds, in which lease ends are given.
+func (inc *incarnation) clock() int64 { return (inc.clockStart + time.Since(inc.start)).Milliseconds() }
+
+// withStartTime adds the start time to a report or answer, if the incarnation reports it.
+func (inc *incarnation) withStartTime(body map[string]any) map[string]any {
+	if inc.startMillis != 0 {
+		body["born"] = inc.startMillis
+	}
+	return body
+}
+
+// used returns the capacity reserved by all runs.
+func (inc *incarnation) used() job.Size {
+	var used job.Size
+	for _, r := range inc.running {
+		used = used.Plus(r.step.Reservation())
+	}
+	return used
+}
+
+// extendLease extends the lease to a time of the monotonic clock in milliseconds, by at most maxLease from now.
+func (inc *incarnation) extendLease(until int64) {
+	end := inc.start.Add(time.Duration(until)*time.Millisecond - inc.clockStart)
+	if limit := time.Now().Add(maxLease); end.After(limit) {
+		end = limit
+	}
+	if end.After(inc.leaseEnd) {
+		inc.leaseEnd = end
+	}
+}
+
+// renewalAnswer returns the body of the answer to a renewal.
+func (inc *incarnation) renewalAnswer() map[string]any {
+	running, ended := [][]any{}, [][]any{}
+	for id, r := range inc.running {
+		running = append(running, []any{id.String(), r.number, "", r.progress(), r.step.Size.CPU})
+	}
+	for _, e := range inc.endedRuns {
+		ended = append(ended, []any{e.number, e.task.String(), e.run, e.kind.String(), ""})
+	}
+	return inc.withStartTime(map[string]any{"clock-ms": inc.clock(), "running": running, "ended": ended})
+}
+
+// progress returns the progress of a run in percent, 100 for a long-running task.
+func (r *run) progress() int {
+	if r.step.LongRunning || r.step.Estimate == 0 {
+		return 100
+	}
+	return 100 - int(100*r.remaining/r.step.Estimate)
+}
+
+// delayStart moves the start of an incarnation to the end of the worker's downtime.
+func (inc *incarnation) delayStart(down time.Duration) {
+	inc.start = inc.start.Add(down)
+	if inc.startMillis != 0 {
+		inc.startMillis += down.Milliseconds()
+	}
+}
--- a/proving/platform/faults.go
+++ b/proving/platform/faults.go
@@ -8,16 +8,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Faults is how a stand-in is told to fail, over its path /control/NAME.
+// Faults are the faults of a stand-in, which are set over its path /control/NAME.
 type Faults struct {
-	mu     sync.Mutex
-	down   bool
-	slow   time.Duration
-	lose   int
-	behind int
+	mu             sync.Mutex
+	down           bool
+	slow           time.Duration
+	answersToLose  int
+	versionsBehind int
 }
 
-// Control takes down, up, slow?ms=N, lose?answers=N and old?versions=N.
+// Control accepts down, up, slow?ms=N, lose?answers=N and old?versions=N.
 func (f *Faults) Control(ctx *fasthttp.RequestCtx) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,19 +26,19 @@
 	case "/control/down":
 		f.down = true
 	case "/control/up":
-		f.down, f.slow, f.lose, f.behind = false, 0, 0, 0
+		f.down, f.slow, f.answersToLose, f.versionsBehind = false, 0, 0, 0
 	case "/control/slow":
 		f.slow = time.Duration(args.GetUintOrZero("ms")) * time.Millisecond
 	case "/control/lose":
-		f.lose = args.GetUintOrZero("answers")
+		f.answersToLose = args.GetUintOrZero("answers")
 	case "/control/old":
-		f.behind = args.GetUintOrZero("versions")
+		f.versionsBehind = args.GetUintOrZero("versions")
 	default:
 		ctx.Error("no such fault", fasthttp.StatusNotFound)
 	}
 }
 
-// Enter delays a call, or refuses it while the stand-in is down.
+// Enter delays a call and reports whether it may proceed; while the stand-in is down it refuses the call.
 func (f *Faults) Enter(ctx *fasthttp.RequestCtx) bool {
 	f.mu.Lock()
 	down, slow := f.down, f.slow
@@ -52,24 +52,24 @@
 	return !down
 }
 
-// LoseAnswer drops the connection instead of the answer to a write that took effect, as often as was asked.
+// LoseAnswer drops the connection instead of answering a write that took effect, for the requested number of answers.
 func (f *Faults) LoseAnswer(ctx *fasthttp.RequestCtx) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lose == 0 {
+	if f.answersToLose == 0 {
 		return
 	}
-	f.lose--
+	f.answersToLose--
 	ctx.Response.Reset()
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c netConn) { _ = c.Close() })
 }
 
-// Behind returns how many versions old the answers are.
+// Behind returns by how many versions answers are stale.
 func (f *Faults) Behind() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.behind
+	return f.versionsBehind
 }
 
 func writeJSON(ctx *fasthttp.RequestCtx, answer any) {
--- a/proving/platform/worker.go
+++ b/proving/platform/worker.go
@@ -14,49 +14,49 @@
 	"github.com/saffronpulley/saffronpulley/internal/worker"
 )
 
-// WorkerConfig describes a worker to stand in for.
+// WorkerConfig is the configuration of a stand-in for a worker.
 type WorkerConfig struct {
 	Instance     string
 	Capacity     resource.Vector
 	Slots        int
 	Connections  int
 	EndpointHost string
-	// Runtime is how long a batch task takes.
+	// Runtime is the running time of a batch task.
 	Runtime time.Duration
-	// Service is how long a request takes at an idle VM.
+	// Service is the service time of a request on an idle VM.
 	Service time.Duration
-	// UsageLag is how old usage reports are.
+	// UsageLag is the age of usage reports.
 	UsageLag time.Duration
 }
 
-// Worker stands in for a worker; it keeps its own books, by which the proofs judge.
+// Worker is a stand-in for a worker. It records its own history, against which tests check invariants.
 type Worker struct {
 	WorkerConfig
 	faults Faults
 
-	mu        sync.Mutex
-	runs      map[worker.RunWire]*workerRun
-	spans     []Span
-	over      int
-	failAll   bool
-	noSaves   bool
-	hang      bool
-	endpoints *endpoints
+	mu            sync.Mutex
+	runs          map[worker.RunWire]*workerRun
+	spans         []Span
+	overcommitted int
+	failAll       bool
+	noCheckpoints bool
+	hang          bool
+	endpoints     *endpoints
 }
 
 type workerRun struct {
-	order     worker.OrderWire
-	state     task.State
-	progress  float64
-	reference string
-	percent   int
-	lease     time.Time
-	ticked    time.Time
-	endpoint  *endpoint
-	span      int
+	order      worker.OrderWire
+	state      task.State
+	progress   float64
+	reference  string
+	percent    int
+	lease      time.Time
+	advancedAt time.Time
+	endpoint   *endpoint
+	span       int
 }
 
-// Span is the time in which a run was on the worker, in milliseconds since 1970; an end of 0 is still to come.
+// Span is the time of a run on the worker, in milliseconds since 1970; Until is 0 while it runs.
 type Span struct {
 	Worker string         `json:"worker"`
 	Run    worker.RunWire `json:"run"`
@@ -67,32 +67,32 @@
 	State  string         `json:"state"`
 }
 
-// Books is what the worker saw.
-type Books struct {
+// WorkerHistory is the history of a worker.
+type WorkerHistory struct {
 	Spans []Span `json:"spans"`
-	// Over counts the moments in which the VM was committed beyond what it has.
-	Over     int            `json:"over_committed"`
-	Executed map[string]int `json:"executed"`
+	// Overcommitted counts the starts after which the runs exceeded the capacity of the VM.
+	Overcommitted int            `json:"over_committed"`
+	Executed      map[string]int `json:"executed"`
 }
 
-const tick = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-// NewWorker returns a worker that runs nothing.
+// NewWorker returns a worker without runs.
 func NewWorker(config WorkerConfig) *Worker {
 	w := &Worker{WorkerConfig: config, runs: make(map[worker.RunWire]*workerRun), endpoints: newEndpoints()}
 	go w.tickLoop()
 	return w
 }
 
-// Handle serves the worker's protocol, and its faults below /control/.
+// Handle serves the worker's protocol, and its faults under /control/.
 func (w *Worker) Handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == "/control/books":
 		w.mu.Lock()
-		books := Books{Spans: append([]Span{}, w.spans...), Over: w.over, Executed: w.endpoints.counts()}
+		history := WorkerHistory{Spans: append([]Span{}, w.spans...), Overcommitted: w.overcommitted, Executed: w.endpoints.counts()}
 		w.mu.Unlock()
-		writeJSON(ctx, books)
+		writeJSON(ctx, history)
 	case path == "/control/set":
 		w.set(ctx)
 	case strings.HasPrefix(path, "/control/"):
@@ -102,7 +102,7 @@
 	}
 }
 
-// set takes fail=yes, saves=no, hang=yes, runtime=MS, service=MS and lag=MS.
+// set takes fail=yes, saves=no, hang=yes, runtime=MS, service=MS and answer=FAULT.
 func (w *Worker) set(ctx *fasthttp.RequestCtx) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,7 +113,7 @@
 		case "fail":
 			w.failAll = yes
 		case "saves":
-			w.noSaves = !yes
+			w.noCheckpoints = !yes
 		case "hang":
 			w.hang = yes
 		case "runtime":
@@ -198,7 +198,7 @@
 	}
 	now := time.Now()
 	r := &workerRun{
-		order: order, state: task.Running, reference: order.Checkpoint, percent: 100, ticked: now,
+		order: order, state: task.Running, reference: order.Checkpoint, percent: 100, advancedAt: now,
 		lease: now.Add(time.Duration(order.LeaseMillis) * time.Millisecond), span: len(w.spans),
 	}
 	if order.Checkpoint != "" {
@@ -215,11 +215,11 @@
 	w.runs[order.Run] = r
 	w.spans = append(w.spans, Span{Worker: w.Instance, Run: order.Run, From: now.UnixMilli(), Start: r.progress})
 	if !w.used().Fits(w.Capacity) {
-		w.over++
+		w.overcommitted++
 	}
 }
 
-// used is what the runs take; w.mu is held.
+// used returns the capacity used by the runs; w.mu is held.
 func (w *Worker) used() resource.Vector {
 	var used resource.Vector
 	for _, r := range w.runs {
@@ -261,7 +261,7 @@
 			delete(w.runs, run)
 		}
 	case r.state.IsFinal():
-	case verb == "checkpoint" && !w.noSaves:
+	case verb == "checkpoint" && !w.noCheckpoints:
 		r.reference = "progress-" + strconv.FormatFloat(r.progress, 'f', 6, 64)
 		w.close(r, task.Checkpointed)
 	case verb == "stop":
@@ -280,7 +280,7 @@
 }
 
 func (w *Worker) tickLoop() {
-	for now := range time.Tick(tick) {
+	for now := range time.Tick(tickInterval) {
 		w.mu.Lock()
 		for _, r := range w.runs {
 			w.advance(r, now)
@@ -289,13 +289,13 @@
 	}
 }
 
-// advance moves a run on; w.mu is held.
+// advance advances a run and ends it if it is due; w.mu is held.
 func (w *Worker) advance(r *workerRun, now time.Time) {
 	if r.state != task.Running {
 		return
 	}
-	elapsed := now.Sub(r.ticked)
-	r.ticked = now
+	elapsed := now.Sub(r.advancedAt)
+	r.advancedAt = now
 	switch {
 	case now.After(r.lease):
 		w.close(r, task.Stopped)
@@ -311,7 +311,7 @@
 	}
 }
 
-// pressure is the share of the VM that batch tasks use.
+// pressure returns the share of the VM's processors that batch tasks use.
 func (w *Worker) pressure() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/proving/relay/relay.go
+++ b/proving/relay/relay.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// Relay stands before the address of a process.
+// Relay forwards connections to a process.
 type Relay struct {
 	address string
 
 	mu       sync.Mutex
 	listener net.Listener
 	closed   bool
-	// target is where new connections lead.
+	// target is the address to which new connections are forwarded.
 	target string
-	// cut are the sources, by IP number, of which nothing passes; muted are the ways on which nothing does.
-	cut   map[string]bool
-	muted Direction
-	delay time.Duration
-	// sources are the connections that stand, with the IP number of each; silent are those on which nothing passes for good.
-	sources map[net.Conn]string
-	silent  map[net.Conn]bool
+	// cut are the source IP addresses whose traffic is dropped; dropped are the directions in which all bytes are dropped.
+	cut     map[string]bool
+	dropped Direction
+	delay   time.Duration
+	// sources are the open connections with their source IP addresses; silenced are those on which all bytes are dropped
+	// until they close.
+	sources  map[net.Conn]string
+	silenced map[net.Conn]bool
 }
 
-// bufferSize is how many bytes are read at once.
+// bufferSize is the number of bytes read at once.
 const bufferSize = 32 << 10
 
-// Direction is a way of bytes through a relay; several may be joined.
+// Direction is a direction of bytes through a relay; directions can be combined.
 type Direction int
 
-// The ways of bytes.
+// The directions of bytes.
 const (
-	// Towards is from those that connect to the process, Back the other way.
-	Towards Direction = 1 << iota
-	Back
+	// ToTarget is from the clients to the target, FromTarget the reverse.
+	ToTarget Direction = 1 << iota
+	FromTarget
 )
 
-// New returns a relay that listens on an address and passes on to a target, which may be set later.
+// New returns a relay that listens on an address and forwards connections to a target, which may be set later.
 func New(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{address: listener.Addr().String(), listener: listener, target: target, cut: make(map[string]bool), sources: make(map[net.Conn]string), silent: make(map[net.Conn]bool)}
+	r := &Relay{address: listener.Addr().String(), listener: listener, target: target, cut: make(map[string]bool), sources: make(map[net.Conn]string), silenced: make(map[net.Conn]bool)}
 	go r.accept(listener)
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the address the relay listens on.
 func (r *Relay) Address() string { return r.address }
 
-// Close ends the relay; connections that stand go on.
+// Close closes the relay's listener; open connections stay open.
 func (r *Relay) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +61,7 @@
 	return r.listener.Close()
 }
 
-// Refuse breaks all connections and refuses new ones, as a machine does on which the process is gone.
+// Refuse resets all connections and refuses new ones, as a machine does whose process has ended.
 func (r *Relay) Refuse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,8 +69,8 @@
 	r.reset(func(string) bool { return true })
 }
 
-// Admit takes connections again after Refuse, unless the relay is closed.
-func (r *Relay) Admit() error {
+// Reopen accepts connections again after Refuse, unless the relay is closed.
+func (r *Relay) Reopen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -84,14 +85,14 @@
 	return nil
 }
 
-// SetTarget sets where new connections lead.
+// SetTarget sets the address to which new connections are forwarded.
 func (r *Relay) SetTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
-// SetCut makes the relay swallow, or pass again, all that comes from an IP number.
+// SetCut cuts or restores the traffic of a source IP address; restoring it resets its connections.
 func (r *Relay) SetCut(source string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,115 +102,116 @@
 	}
 }
 
-// Mute makes the relay swallow all bytes of some ways, whoever sends them; 0 passes all again.
-func (r *Relay) Mute(ways Direction) {
+// Drop discards all bytes in the given directions; 0 forwards all again and resets all connections.
+func (r *Relay) Drop(directions Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.muted = ways
-	if ways == 0 {
+	r.dropped = directions
+	if directions == 0 {
 		r.reset(func(string) bool { return true })
 	}
 }
 
-// SetDelay sets how long bytes are held up on each way.
+// SetDelay sets the delay of bytes in each direction.
 func (r *Relay) SetDelay(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
 }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset(func(string) bool { return true })
 }
 
-// reset breaks the connections of some sources, as a healed network does with what hung; r.mu is held.
-func (r *Relay) reset(of func(source string) bool) {
-	for link, source := range r.sources {
-		if of(source) {
-			_ = link.Close()
+// reset closes the connections of the matching sources, as happens to hung connections after a network recovers; r.mu is
+// held.
+func (r *Relay) reset(matches func(source string) bool) {
+	for conn, source := range r.sources {
+		if matches(source) {
+			_ = conn.Close()
 		}
 	}
 }
 
-// Silence makes all connections that stand silent for good, without a reset; new ones pass.
-func (r *Relay) Silence() {
+// SilenceOpen drops all bytes on the open connections until they close, without a reset; new connections work.
+func (r *Relay) SilenceOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for link := range r.sources {
-		r.silent[link] = true
+	for conn := range r.sources {
+		r.silenced[conn] = true
 	}
 }
 
-// swallows reports whether bytes of a connection from a source are lost on a way, and how long they take else.
-func (r *Relay) swallows(link net.Conn, source string, way Direction) (bool, time.Duration) {
+// drops reports whether bytes of a connection are dropped in a direction, and otherwise their delay.
+func (r *Relay) drops(conn net.Conn, source string, direction Direction) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut[source] || r.silent[link] || r.muted&way != 0, r.delay
+	return r.cut[source] || r.silenced[conn] || r.dropped&direction != 0, r.delay
 }
 
 // accept serves each connection until the listener is closed.
 func (r *Relay) accept(listener net.Listener) {
 	for {
-		link, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(link)
+		go r.serve(conn)
 	}
 }
 
-// serve passes the bytes of a connection both ways until either end is closed.
-func (r *Relay) serve(link net.Conn) {
-	source, _, _ := net.SplitHostPort(link.RemoteAddr().String())
-	target := r.add(link, source)
-	defer r.remove(link)
-	far, err := net.Dial("tcp", target)
+// serve forwards the bytes of a connection in both directions until either end is closed.
+func (r *Relay) serve(conn net.Conn) {
+	source, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+	target := r.add(conn, source)
+	defer r.remove(conn)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = link.Close()
+		_ = conn.Close()
 		return
 	}
 	done := make(chan struct{}, 2)
-	go func() { r.copy(far, link, passage{link, source, Towards}); done <- struct{}{} }()
-	go func() { r.copy(link, far, passage{link, source, Back}); done <- struct{}{} }()
+	go func() { r.copy(upstream, conn, stream{conn, source, ToTarget}); done <- struct{}{} }()
+	go func() { r.copy(conn, upstream, stream{conn, source, FromTarget}); done <- struct{}{} }()
 	<-done
-	_ = link.Close()
-	_ = far.Close()
+	_ = conn.Close()
+	_ = upstream.Close()
 	<-done
 }
 
-// add counts a connection among those that stand, and returns where it leads.
-func (r *Relay) add(link net.Conn, source string) string {
+// add registers an open connection and returns its target.
+func (r *Relay) add(conn net.Conn, source string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sources[link] = source
+	r.sources[conn] = source
 	return r.target
 }
 
-// remove counts a connection as gone.
-func (r *Relay) remove(link net.Conn) {
+// remove removes a closed connection.
+func (r *Relay) remove(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.sources, link)
-	delete(r.silent, link)
+	delete(r.sources, conn)
+	delete(r.silenced, conn)
 }
 
-// passage is one way through a relay, of a connection from a source.
-type passage struct {
-	link   net.Conn
-	source string
-	way    Direction
+// stream is one direction of a connection.
+type stream struct {
+	conn      net.Conn
+	source    string
+	direction Direction
 }
 
-// copy passes bytes on, late where the relay is slow; while they are to be lost it swallows them.
-func (r *Relay) copy(to io.Writer, from io.Reader, p passage) {
+// copy forwards bytes after the relay's delay and discards those to be dropped.
+func (r *Relay) copy(to io.Writer, from io.Reader, s stream) {
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		lost, delay := r.swallows(p.link, p.source, p.way)
-		if n > 0 && !lost {
+		drop, delay := r.drops(s.conn, s.source, s.direction)
+		if n > 0 && !drop {
 			<-time.After(delay)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
