--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -185,7 +185,7 @@
 		a.runs[s.Run()] = &run{started: true, startedAt: time.Now(), adopted: true, status: s}
 	}
 	if len(statuses) == 0 {
-		a.gate.SetFresh()
+		a.gate.SetNoEarlierStart()
 	}
 	a.ready = true
 	a.Logger.Info("adopted %d runs of worker %s", len(statuses), description.Instance())
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -83,7 +83,7 @@
 		{"of an earlier leader", desired(control.Position{Epoch: 1, Revision: 9}, "boot"), fault.Stale},
 		{"a change of the current position", desiredChange(current, control.Position{Epoch: 2, Revision: 6}), -1},
 		{"a change of another position", desiredChange(control.Position{Epoch: 2, Revision: 4}, control.Position{Epoch: 2, Revision: 6}), fault.Stale},
-		{"for an earlier start of the agent", desired(control.Position{Epoch: 2, Revision: 6}, "before"), fault.Stale},
+		{"for an earlier incarnation of the agent", desired(control.Position{Epoch: 2, Revision: 6}, "before"), fault.Stale},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -64,7 +64,7 @@
 		address = a.Address
 	}
 	if address == a.Address && !a.isLeader() {
-		return nil, "", fault.New(fault.Unavailable, "the lease is held by an earlier start of this agent")
+		return nil, "", fault.New(fault.Unavailable, "the lease is held by an earlier incarnation of this agent")
 	}
 	peer, err := a.dial(ctx, address)
 	return peer, address, err
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -15,7 +15,7 @@
 )
 
 // acceptDesired stores the desired runs of a leader. It rejects those that are older than the stored ones or for an earlier
-// start of the agent.
+// incarnation of the agent.
 func (a *Agent) acceptDesired(_ context.Context, _ *rpc.Peer, d control.Desired) (control.Ack, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -268,7 +268,7 @@
 
 func (a *Agent) renew(ctx context.Context) { a.renewFor(ctx, a.Timing.TaskLease) }
 
-// extendLeases renews the leases for twice their time, so that the next start of the agent can adopt the tasks.
+// extendLeases renews the leases for twice their time, so that the next incarnation of the agent can adopt the tasks.
 func (a *Agent) extendLeases(ctx context.Context) { a.renewFor(ctx, 2*a.Timing.TaskLease) }
 
 func (a *Agent) renewFor(ctx context.Context, lease time.Duration) {
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -17,7 +17,7 @@
 
 // Load is the load of a cell, by which entries choose the cell of a job.
 type Load struct {
-	// Free and Capacity are the free and all processors of the cell, in thousandths.
+	// Free is the number of free processors of the cell, Capacity the number of all, both in thousandths.
 	Free     int64 `json:"room"`
 	Capacity int64 `json:"capacity"`
 	// Waiting is the number of jobs and services that wait for a worker.
--- a/internal/control/request.go
+++ b/internal/control/request.go
@@ -66,7 +66,7 @@
 type SealAnswer struct {
 	Boot         string `json:"boot"`
 	UptimeMillis int64  `json:"uptime_ms"`
-	// NoEarlierStart reports whether no earlier start of the agent has served on the VM, according to its worker.
+	// NoEarlierStart reports whether no earlier incarnation of the agent has served on the VM, according to its worker.
 	NoEarlierStart bool     `json:"fresh"`
 	Keys           []string `json:"keys"`
 }
--- a/internal/crash/losses.go
+++ b/internal/crash/losses.go
@@ -10,7 +10,7 @@
 	// up for fewer.
 	minCrashed = 2
 	// maxLosses bounds all consecutive losses, similar or not, with confirmed crashes or not: it bounds a task that
-	// takes the whole VM down permanently, and network partitions do not hit one task that often.
+	// takes the whole VM down permanently, and network partitions do not hit that many runs of one task in a row.
 	maxLosses = 8
 	// distinctFactor is the factor by which lifetimes differ that are not similar: work that crashes its workers takes
 	// about the same time each time.
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -77,12 +77,12 @@
 }
 
 func (e *Entry) handleHandover(ctx *fasthttp.RequestCtx) {
-	var hand control.Handover
-	if err := json.Unmarshal(ctx.Request.Body(), &hand); err != nil {
+	var handover control.Handover
+	if err := json.Unmarshal(ctx.Request.Body(), &handover); err != nil {
 		writePeerError(ctx, fault.Wrap(err, fault.BadInput, "the keys cannot be read"))
 		return
 	}
-	for _, s := range hand.Slots {
+	for _, s := range handover.Slots {
 		e.keys.keys.Import(s.Slot, decodeKeyResults(s.Keys), time.Now())
 	}
 	ctx.SetBodyString("{}")
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	maxTries             = 8
+	maxAttempts          = 8
 	outcomeTimeout       = time.Second
 	noEndpointRetryAfter = time.Second
 )
@@ -29,9 +29,9 @@
 func (e *Entry) route(r *request) (*idempotency.Answer, error) {
 	row, _ := e.table().Row(r.service)
 	e.countRequest(r.service, row.RetryBudget())
-	var tried [maxTries]*catalog.Endpoint
+	var tried [maxAttempts]*catalog.Endpoint
 	var lastErr error
-	for attempt := range maxTries {
+	for attempt := range maxAttempts {
 		if time.Until(r.deadline) <= 0 {
 			break
 		}
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -4,7 +4,7 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind is a kind of error.
+// Kind classifies an error; it determines the answer to the caller.
 type Kind int
 
 // The error kinds, in the order of the answers table.
--- a/internal/gate/exchanges_test.go
+++ b/internal/gate/exchanges_test.go
@@ -13,10 +13,10 @@
 
 func TestAdmit(t *testing.T) {
 	cases := []struct {
-		name  string
-		do    func(x *exchanges)
-		epoch uint64
-		want  fault.Kind
+		name    string
+		prepare func(x *exchanges)
+		epoch   uint64
+		want    fault.Kind
 	}{
 		{"new", func(*exchanges) {}, 1, -1},
 		{"again", func(x *exchanges) { _ = x.admit("id", "key", 3, 1, startTime) }, 1, fault.OutcomeUnknown},
@@ -28,7 +28,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			x := newExchanges()
-			c.do(x)
+			c.prepare(x)
 			err := x.admit("id", "key", 3, c.epoch, startTime)
 			if c.want < 0 {
 				assert.NilError(t, err)
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -76,8 +76,8 @@
 	return r.inFlight()
 }
 
-// SetFresh marks that no earlier incarnation of the agent served on the VM.
-func (g *Gate) SetFresh() { g.noEarlierStart.Store(true) }
+// SetNoEarlierStart records that no earlier incarnation of the agent served on the VM.
+func (g *Gate) SetNoEarlierStart() { g.noEarlierStart.Store(true) }
 
 // Leave makes the gate reject all new requests.
 func (g *Gate) Leave() { g.leaving.Store(true) }
--- a/internal/gate/replica.go
+++ b/internal/gate/replica.go
@@ -83,17 +83,17 @@
 		r.mu.Unlock()
 		return fault.New(fault.Overloaded, "%s cannot run the request within its deadline", r.service).WithRetryAfter(after)
 	}
-	turn := make(chan struct{})
-	r.queue = append(r.queue, turn)
+	granted := make(chan struct{})
+	r.queue = append(r.queue, granted)
 	r.mu.Unlock()
-	return r.await(ctx, turn, deadline)
+	return r.await(ctx, granted, deadline)
 }
 
-func (r *replica) await(ctx context.Context, turn chan struct{}, deadline time.Time) error {
+func (r *replica) await(ctx context.Context, granted chan struct{}, deadline time.Time) error {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-timer.C:
 	case <-ctx.Done():
@@ -101,7 +101,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, waiting := range r.queue {
-		if waiting == turn {
+		if waiting == granted {
 			r.queue = append(r.queue[:i], r.queue[i+1:]...)
 			r.limiter.Abandon()
 			return fault.New(fault.DeadlineExceeded, "the request waited for %s until its deadline", r.service).
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -109,7 +109,7 @@
 // Worker runs tasks on the agent's VM.
 //
 // A call reaches any incarnation with the given worker identifier, or with the zero ID any worker that answers. Errors are of kind Stale
-// if a worker with another identifier answers, Unavailable if nothing was sent, and OutcomeUnknown if the order may be or become effective.
+// if a worker with another identifier answers, Unavailable if nothing was sent, and OutcomeUnknown if the order may have been carried out or may still be.
 type Worker interface {
 	// Start starts a run, which ends at the end of its lease unless Renew extends it.
 	Start(ctx context.Context, id incarnation.ID, order Start) (Refusal, error)
--- a/internal/interference/interference.go
+++ b/internal/interference/interference.go
@@ -90,7 +90,7 @@
 // Observe records the average run time of a service's requests beside neighbors in a band, and returns the slowdown
 // relative to the service's baseline, 0 for none.
 //
-// The part that the present estimates do not explain is divided among the neighbors by their share and uncertainty.
+// The part that the current estimates do not explain is divided among the neighbors by their share and uncertainty.
 func (m *Model) Observe(service string, band Band, neighbors []Neighbor, runtime time.Duration, samples int64, now time.Time) float64 {
 	if samples <= 0 {
 		return 0
--- a/internal/job/script_test.go
+++ b/internal/job/script_test.go
@@ -136,10 +136,10 @@
 	}
 }
 
-func parseLoss(name string, lived time.Duration) crash.Loss {
+func parseLoss(name string, lifetime time.Duration) crash.Loss {
 	switch name {
 	case "told":
-		return crash.ReportedLoss(lived, false)
+		return crash.ReportedLoss(lifetime, false)
 	case "untold":
 		return crash.UnreportedLoss()
 	}
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -76,8 +76,8 @@
 // End is the outcome of a run.
 type End int
 
-// The outcomes of a run. EndLapsed follows the expiry of its lease, EndGangBroken the end of another gang member, and
-// EndGangIncomplete a gang that lacked members.
+// The outcomes of a run. EndLapsed is the expiry of its lease or the loss of its worker, EndGangBroken follows the failure
+// of another gang member, and EndGangIncomplete is the end of a gang that lacked members.
 const (
 	EndDone           End = iota // done
 	EndFailed                    // failed
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -191,18 +191,18 @@
 	// The entry polls a leader without heartbeats: any change would be pushed to the entry, whose peer has no connection.
 	polled, entry := beginLeader(t, memoryStore{}, "vm-1"), &rpc.Peer{}
 	polled.subscribers[entry] = struct{}{}
-	for _, lapsed := range []bool{false, true} {
-		if lapsed {
+	for _, expired := range []bool{false, true} {
+		if expired {
 			for _, leader := range []*Leader{l, polled} {
 				leader.setLease(time.Now().Add(-2*time.Hour), store.NewLease("vm-1", time.Hour))
 			}
 		}
 		answer, err := l.Heartbeat(t.Context(), nil, control.Heartbeat{Instance: "vm-2", Boot: "b", Profile: profile})
 		assert.NilError(t, err)
-		assert.Equal(t, answer.LeaseExpired, lapsed)
+		assert.Equal(t, answer.LeaseExpired, expired)
 		subscribed, err := polled.Subscribe(t.Context(), entry, control.Subscribe{})
 		assert.NilError(t, err)
-		assert.Equal(t, subscribed.LeaseExpired, lapsed)
+		assert.Equal(t, subscribed.LeaseExpired, expired)
 	}
 }
 
--- a/internal/leader/measurements.go
+++ b/internal/leader/measurements.go
@@ -16,8 +16,8 @@
 )
 
 // recordMeasurements adds the measurements of a heartbeat to the estimates and to the interference model; l.mu is held.
-func (l *Leader) recordMeasurements(agent *agentView, beat *control.Heartbeat, now time.Time) {
-	for _, usage := range beat.Usage {
+func (l *Leader) recordMeasurements(agent *agentView, heartbeat *control.Heartbeat, now time.Time) {
+	for _, usage := range heartbeat.Usage {
 		run := usage.Run.Decode()
 		s, ok := agent.statuses[run]
 		if !ok {
@@ -26,7 +26,7 @@
 		agent.usage[run] = usage.Used.Decode()
 		l.estimate(s.workload).Observe(usage.Used.Decode())
 	}
-	for _, latency := range beat.Latency {
+	for _, latency := range heartbeat.Latency {
 		agent.latency[latency.Service] = latency
 		neighbors := make([]interference.Neighbor, 0, len(latency.Neighbors))
 		for _, n := range latency.Neighbors {
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	applyTries          = 5
+	applyAttempts       = 5
 	applyRetryDelay     = time.Second
 	inForceTimeout      = 30 * time.Second
 	inForcePollInterval = 200 * time.Millisecond
@@ -130,7 +130,7 @@
 func (c *commands) postEdit(path string, content []byte) (applyResult, error) {
 	var result applyResult
 	var lastErr error
-	for attempt := range applyTries {
+	for attempt := range applyAttempts {
 		if attempt > 0 {
 			<-time.After(applyRetryDelay)
 		}
--- a/internal/plan/group.go
+++ b/internal/plan/group.go
@@ -67,8 +67,8 @@
 	return bestEffortInTime
 }
 
-// remainingWork orders best-effort jobs by the least work left: under overload this order lets the most jobs finish in
-// time.
+// remainingWork returns the sort key that puts best-effort jobs with the least work left first, since under overload this
+// order lets the most jobs finish in time; it is 0 for other jobs.
 func (g *Group) remainingWork() float64 {
 	if !g.Step.BestEffort {
 		return 0
--- a/internal/pressure/load.go
+++ b/internal/pressure/load.go
@@ -7,7 +7,7 @@
 
 // load is the state of the users' load that the tasks of one step of a job share. It is spread evenly, so the headroom
 // of the tasks without neighbors varies alike, around a mean. On recorded days the headrooms of half of the tasks of a
-// job are within 0.05 of each other, and of nine in ten within 0.25, apart from tasks with a rise of their own.
+// job are within 0.05 of each other, and of nine in ten within 0.25, apart from tasks with a latency spike of their own.
 type load struct {
 	// slot is the index of the load's first slot in the filter.
 	slot      int
--- a/internal/pressure/model.go
+++ b/internal/pressure/model.go
@@ -23,8 +23,8 @@
 	// interferenceNoise is the part of a measurement's variance that grows with the square of the loss by
 	// interference, which changes within seconds.
 	interferenceNoise = 0.06
-	// minMedianTasks is the number of tasks from which the median is unaffected by one task with a rise of its own;
-	// outlierDeviations is by how many standard deviations a smaller sample must be too low to count as such a rise.
+	// minMedianTasks is the number of tasks from which the median is unaffected by a latency spike of a single task;
+	// outlierDeviations is by how many standard deviations a smaller sample must be too low to count as such a spike.
 	minMedianTasks    = 3
 	outlierDeviations = 3.0
 	// weightDrift is added with each sample to the variance of each weight in use, since the interference of images
@@ -105,13 +105,14 @@
 	return max(f.mean[headroom]-f.loss(weights), 0)
 }
 
-// upperMedian returns the upper median of the headrooms; a task with a rise of its own only lowers its headroom.
+// upperMedian returns the upper median of the headrooms, since a latency spike of a single task can only lower its
+// headroom.
 func upperMedian(headrooms []float64) float64 {
 	return slices.Sorted(slices.Values(headrooms))[len(headrooms)/2]
 }
 
 // sampleVariance returns the variance of a sample with an innovation, for the variance of its prediction. A small
-// sample that is far too low may come from one task with a rise of its own and gets little weight.
+// sample that is far too low may come from a latency spike of a single task and gets little weight.
 func sampleVariance(s Sample, measured, loss, innovation, predictedVariance float64) float64 {
 	count := float64(len(s.Headrooms))
 	noise := MeasurementVariance(measured, s.TargetMillis)/count + interferenceNoise*loss*loss
--- a/internal/pressure/model_test.go
+++ b/internal/pressure/model_test.go
@@ -76,8 +76,9 @@
 	assert.Assert(t, deviation < 2, "%.1f", deviation)
 }
 
-// TestRiseOfOneTaskLeavesLoadUnchanged checks that the rise of one of three tasks does not change the estimated load.
-func TestRiseOfOneTaskLeavesLoadUnchanged(t *testing.T) {
+// TestSpikeOfOneTaskLeavesLoadUnchanged checks that a latency spike of one of three tasks does not change the estimated
+// load.
+func TestSpikeOfOneTaskLeavesLoadUnchanged(t *testing.T) {
 	m, now := NewModel(), time.Unix(1000, 0)
 	for range 10 {
 		now = now.Add(500 * time.Millisecond)
--- a/internal/pressure/residual.go
+++ b/internal/pressure/residual.go
@@ -12,8 +12,8 @@
 	observedAt time.Time
 }
 
-// residualDecaySeconds is the time after which a third of the offset is left, since a task's own rise lasts about two
-// seconds.
+// residualDecaySeconds is the time after which a third of the offset is left, since a latency spike of a single task lasts
+// about two seconds.
 const residualDecaySeconds = 1.4
 
 // Observe records the offset.
--- a/internal/queueing/queueing.go
+++ b/internal/queueing/queueing.go
@@ -7,7 +7,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/resource"
 )
 
-// StarveAfter is how long an unplaceable task waits before a worker is reserved for it.
+// StarveAfter is how long an unplaceable task that is not urgent waits before a worker is reserved for it.
 const StarveAfter = 2 * time.Minute
 
 // Team is the usage, quota and weight of a team in the cell.
@@ -58,7 +58,7 @@
 // Team returns the team of the work.
 func (e *Entry) Team() *Team { return e.team }
 
-// Starved reports whether the work has waited so long that a worker is reserved for it.
+// Starved reports whether a worker is reserved for the work: urgent work at once, other work after StarveAfter.
 func (e *Entry) Starved(now time.Time) bool {
 	return e.urgent || now.Sub(e.submitted) > StarveAfter
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -60,7 +60,7 @@
 	Epoch uint64
 }
 
-// LastCommit is written with each commit of a leader, so that late commits of an earlier leader or abandoned commits fail.
+// LastCommit is written with each commit of a leader, so that a late commit of an earlier leader, or one that was given up, fails.
 type LastCommit struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch uint64
--- a/internal/scheduling/batch.go
+++ b/internal/scheduling/batch.go
@@ -202,7 +202,7 @@
 	return float64(size.Processors()) / float64(max(capacity.Processors(), 1))
 }
 
-// reserve closes the worker with the most free capacity to other tasks, for a task that has waited too long.
+// reserve closes the worker with the most free capacity to other tasks, if the task is urgent or has waited too long.
 func (p *planner) reserve(w *waitingJob) {
 	if !w.entry.Starved(p.now) {
 		return
