--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -130,7 +130,7 @@
 	return endpointKey{e.Service, e.Instance, e.Boot, e.Address}
 }
 
-// rebuild recreates the lists of endpoints, keeping the state of endpoints that remain; c.mu must be held.
+// rebuild recreates the lists of endpoints, keeping the state of endpoints that remain; c.mu is held.
 func (c *Catalog) rebuild() {
 	old := make(map[endpointKey]*Endpoint)
 	for _, endpoints := range *c.services.Load() {
@@ -152,7 +152,7 @@
 	c.services.Store(&services)
 }
 
-// recordVanished records when incarnations of agents disappeared; c.mu must be held.
+// recordVanished records when incarnations of agents disappeared; c.mu is held.
 func (c *Catalog) recordVanished(old map[endpointKey]*Endpoint, services map[string][]*Endpoint) {
 	known := make(map[string]struct{})
 	for _, endpoints := range services {
--- a/internal/catalog/endpoint.go
+++ b/internal/catalog/endpoint.go
@@ -120,7 +120,7 @@
 	e.refresh(now)
 }
 
-// refresh updates whether requests may be sent; e.mu must be held.
+// refresh updates whether requests may be sent; e.mu is held.
 func (e *Endpoint) refresh(now time.Time) {
 	allowed := endpointProbation.Allows(&e.health, now)
 	e.closed.Store(e.info.Leaving || !allowed || now.Before(e.leavingUntil))
--- a/internal/crash/attribution_test.go
+++ b/internal/crash/attribution_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestScripts attributes crashes: each file of an archive is one crash, each line a run of the worker as "answered AGE
-// CRASHES DOUBTS -> BLAME [alone] [given-up]". A file with "together" in its name is a simultaneous crash of several
-// workers.
+// LIKELY POSSIBLE -> ATTRIBUTION [alone] [given-up]", with the crashes of its task so far. A file with "together" in its
+// name is a simultaneous crash of several workers.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, archive *txtar.Archive) {
 		for _, f := range archive.Files {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -169,7 +169,7 @@
 	e.budget(service).AddRequest(percent)
 }
 
-// budget returns the retry budget of a service; e.mu must be held.
+// budget returns the retry budget of a service; e.mu is held.
 func (e *Entry) budget(service string) *routing.RetryBudget {
 	b, ok := e.budgets[service]
 	if !ok {
--- a/internal/gate/replica.go
+++ b/internal/gate/replica.go
@@ -124,7 +124,7 @@
 	r.promote()
 }
 
-// promote grants free slots to waiting requests; r.mu must be held.
+// promote grants free slots to waiting requests; r.mu is held.
 func (r *replica) promote() {
 	for len(r.queue) > 0 && r.limiter.Promote() {
 		close(r.queue[0])
--- a/internal/hall/closures.go
+++ b/internal/hall/closures.go
@@ -21,14 +21,14 @@
 	return follow.Timing{Wait: staleAfter / waits, MaxRetryDelay: staleAfter / retries}
 }
 
-// staleShare is the part of the time in which a closure must be in force after which the closures count as stale. An
-// agent applies the same part to the closures that the leader sent, and the last fifth is for an order under way.
+// staleShare is the share of the time limit for a closure to be in force after which unconfirmed closures count as stale.
+// An agent applies the same share to the closures that the leader sent, and the last fifth is for an order under way.
 const staleShare = 0.4
 
 // minStaleAfter keeps a short bound from preventing all starts: agents receive closures from the leader every 0.6 s.
 const minStaleAfter = 1200 * time.Millisecond
 
-// StaleAfter returns how long unconfirmed closures still allow a start, for the time in which a closure must be in
+// StaleAfter returns how long unconfirmed closures still allow a start, given the time within which a closure must be in
 // force.
 func StaleAfter(within time.Duration) time.Duration {
 	return max(time.Duration(staleShare*float64(within)), minStaleAfter)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -50,7 +50,7 @@
 // BlockBatch rejects batch tasks, since services of the worker are near their latency target.
 func (c *Candidate) BlockBatch() { c.batchBlocked = true }
 
-// SetInterference sets an upper bound of the slowdown of services by the task, as a share of their target.
+// SetInterference sets an upper bound of the services' slowdown once the task runs there, relative to the worker's tolerance.
 func (c *Candidate) SetInterference(interference float64) { c.interference = interference }
 
 // SetReplicas sets how many replicas of the same service run on the worker and in its rack.
--- a/internal/queueing/queueing.go
+++ b/internal/queueing/queueing.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// Next returns the index of the first entry in this order that is not skipped, or -1.
+// Next returns the index of the first entry in the order of Less that is not skipped, or -1.
 func Next[T any](items []T, entry func(*T) *Entry, skipped func(*T) bool, now time.Time, capacity resource.Vector) int {
 	best := -1
 	for i := range items {
