--- a/proving/fleet/laterdisturbances.go
+++ b/proving/fleet/laterdisturbances.go
@@ -50,7 +50,7 @@
 		for end := time.Now().Add(d); time.Now().Before(end); n++ {
 			w := f.worker(n / 100)
 			own := w.nextHeartbeat().instance
-			for _, instance := range []string{own, fmt.Sprintf("unknown-%d", n%9)} {
+			for _, instance := range []string{own, fmt.Sprintf("stranger-%d", n%9)} {
 				w.send(heartbeat{instance: instance, body: []byte(invalidReport(n))})
 			}
 			<-time.After(20 * time.Millisecond)
