--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -12,7 +12,7 @@
 
 // Tickets lists the workers that may run a step, each with the ticket that its start order must carry.
 type Tickets struct {
-	// ByInstance maps worker ids to tickets; each ticket is for the worker's present incarnation.
+	// ByInstance maps worker ids to tickets; each ticket is for the worker's current incarnation.
 	ByInstance map[string]string
 	// Valid is how long the tickets are valid, counted from the answer.
 	Valid time.Duration
@@ -30,8 +30,7 @@
 	maxAdvisedWorkers = 100
 	// adviceTimeout bounds one call, which takes a few milliseconds for each worker in it.
 	adviceTimeout = 2 * time.Second
-	// ticketReserveDivisor is the divisor of a ticket's validity that gives the time reserved for the start to reach its
-	// worker.
+	// ticketReserveDivisor divides the validity of a ticket; one such part is reserved for the start to reach its worker.
 	ticketReserveDivisor = 3
 	// adviceRetryDelay is the delay before the next request for a step after a failed call, and the least validity of an
 	// answer.
@@ -46,13 +45,13 @@
 }
 
 type stepID struct {
-	job  job.ID
-	time int
-	step int
+	job       job.ID
+	iteration int
+	step      int
 }
 
 func (s stepID) String() string {
-	return job.TaskID{Job: s.job, Iteration: s.time, Step: s.step}.StepName()
+	return job.TaskID{Job: s.job, Iteration: s.iteration, Step: s.step}.StepName()
 }
 
 // ticketsFor returns the tickets of a step by worker, and requests new ones in the background if none are valid.
@@ -110,7 +109,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.advice[id] = &advice{tickets: byIncarnation, validUntil: time.Now().Add(valid)}
-	t.wakeUp()
+	t.notifyChange()
 }
 
 // workerIDs returns the ids that the advisor uses for workers.
--- a/internal/dispatch/backlog.go
+++ b/internal/dispatch/backlog.go
@@ -31,7 +31,7 @@
 
 // update adjusts the level to the waiting tasks, the CPU that best-effort tasks use, and the capacity of the workers; the
 // last two are in thousandths of a core.
-func (s *batchBacklog) update(now time.Time, groups []*plan.Group, used, capacity int) {
+func (b *batchBacklog) update(now time.Time, groups []*plan.Group, used, capacity int) {
 	var work, objective float64
 	for _, g := range groups {
 		if g.Step.BestEffort {
@@ -45,8 +45,8 @@
 		rate := max(float64(used), minBatchShare*float64(capacity)) / millisPerCore
 		target = min(max((work/rate/(objective/work)-backlogStart)/(backlogFull-backlogStart), 0), 1)
 	}
-	if !s.updatedAt.IsZero() {
-		s.level += (target - s.level) * -math.Expm1(-float64(now.Sub(s.updatedAt))/float64(backlogTimeConstant))
+	if !b.updatedAt.IsZero() {
+		b.level += (target - b.level) * -math.Expm1(-float64(now.Sub(b.updatedAt))/float64(backlogTimeConstant))
 	}
-	s.updatedAt = now
+	b.updatedAt = now
 }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -37,36 +37,36 @@
 }
 
 // backOffAfterEnd updates the backoff of a task after the end of a run, if nothing else limits the restarts of the task.
-func (k *trackedJob) backOffAfterEnd(id job.TaskID, end job.End, placedAt time.Time) {
-	step := &k.job.Spec().Steps[id.Step]
+func (j *trackedJob) backOffAfterEnd(id job.TaskID, end job.End, placedAt time.Time) {
+	step := &j.job.Spec().Steps[id.Step]
 	now := time.Now()
 	switch {
 	case step.Gang && end == job.EndGangIncomplete:
-		k.backoffs[id] = k.backoffs[id].next(0, now)
+		j.backoffs[id] = j.backoffs[id].next(0, now)
 	case step.LongRunning && (end == job.EndFailed || end == job.EndDone):
-		k.backoffs[id] = k.backoffs[id].next(now.Sub(placedAt), now)
+		j.backoffs[id] = j.backoffs[id].next(now.Sub(placedAt), now)
 	}
 }
 
 // backOffAfterRefusal updates the backoff of a task after a worker refused its start as invalid, as other workers may too.
-func (k *trackedJob) backOffAfterRefusal(id job.TaskID, reason host.Refusal) {
+func (j *trackedJob) backOffAfterRefusal(id job.TaskID, reason host.Refusal) {
 	if reason == host.RefusedInvalid {
-		k.backoffs[id] = k.backoffs[id].next(0, time.Now())
+		j.backoffs[id] = j.backoffs[id].next(0, time.Now())
 	}
 }
 
 // readyTasks returns the waiting tasks of a step that have no backoff; a gang is ready once all of its waiting members are.
-func (k *trackedJob) readyTasks(id job.TaskID, waiting []int, now time.Time) []int {
-	if len(k.backoffs) == 0 {
+func (j *trackedJob) readyTasks(id job.TaskID, waiting []int, now time.Time) []int {
+	if len(j.backoffs) == 0 {
 		return waiting
 	}
 	var ready []int
 	for _, id.Index = range waiting {
-		if !now.Before(k.backoffs[id].until) {
+		if !now.Before(j.backoffs[id].until) {
 			ready = append(ready, id.Index)
 		}
 	}
-	if k.job.Spec().Steps[id.Step].Gang && len(ready) < len(waiting) {
+	if j.job.Spec().Steps[id.Step].Gang && len(ready) < len(waiting) {
 		return nil
 	}
 	return ready
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -62,12 +62,12 @@
 	if len(b.versions) == 0 && len(b.removed) == 0 && !b.reacquire {
 		return nil, nil
 	}
-	chain, err := t.lastCommitPut(t.commitCount + 1)
+	lastCommit, err := t.lastCommitPut(t.commitCount + 1)
 	if err != nil {
 		return nil, err
 	}
 	b.txn.Conditions = append(b.txn.Conditions, kv.Condition{Key: record.LastCommitKey, Revision: t.lastCommitRevision})
-	b.txn.Puts = append(b.txn.Puts, chain)
+	b.txn.Puts = append(b.txn.Puts, lastCommit)
 	t.addModel(b)
 	b.collectRuns(t)
 	return b, nil
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -23,7 +23,7 @@
 	assert.Assert(t, candidateDelay(0, 0.2, 0.1) < candidateDelay(0, 0.2, 0.9), "equal entries without a rank wait differently long")
 }
 
-// TestEntryThatIsAskedToTakeOverCampaignsAtOnce checks that its rank does not matter, since the leader has already yielded.
+// TestEntryThatIsAskedToTakeOverCampaignsAtOnce checks that its rank does not matter, since the leader has already stepped down.
 func TestEntryThatIsAskedToTakeOverCampaignsAtOnce(t *testing.T) {
 	d := newTestEntry("e", kvtest.New())
 	d.SetRank(17)
--- a/internal/dispatch/closures.go
+++ b/internal/dispatch/closures.go
@@ -12,7 +12,7 @@
 
 // watchClosures follows which halls the operators close and reopen.
 func (t *term) watchClosures(ctx context.Context) error {
-	t.closures.Run(ctx, t.wakeUp)
+	t.closures.Run(ctx, t.notifyChange)
 	return ctx.Err()
 }
 
--- a/internal/dispatch/clustermodel_property_test.go
+++ b/internal/dispatch/clustermodel_property_test.go
@@ -14,8 +14,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// drawTrouble lets a commit fail in a random way, at most three times in a row.
-func (m *clusterModel) drawTrouble() kvtest.Failure {
+// drawFailure lets a commit fail in a random way, at most three times in a row.
+func (m *clusterModel) drawFailure() kvtest.Failure {
 	if m.consecutiveTroubles > 2 || rapid.IntRange(0, 3).Draw(m.t, "trouble") > 0 {
 		m.consecutiveTroubles = 0
 		return kvtest.None
@@ -70,7 +70,7 @@
 	m.store.SetFailure(nil)
 	m.store.ApplyLate()
 	for _, id := range slices.Sorted(maps.Keys(m.specs)) {
-		if m.hasLastingStep(id) {
+		if m.hasLongRunningStep(id) {
 			m.cancelJob(id)
 		}
 	}
@@ -110,7 +110,7 @@
 	return true
 }
 
-func (m *clusterModel) hasLastingStep(id job.ID) bool {
+func (m *clusterModel) hasLongRunningStep(id job.ID) bool {
 	return slices.ContainsFunc(m.specs[id].Steps, func(s job.Step) bool { return s.LongRunning })
 }
 
@@ -119,7 +119,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		inFakeTime(t, func() {
 			m := newClusterModel(rt)
-			m.store.SetFailure(m.drawTrouble)
+			m.store.SetFailure(m.drawFailure)
 			for range rapid.IntRange(20, 120).Draw(rt, "acts") {
 				m.performAction()
 			}
--- a/internal/dispatch/clustermodel_workers_test.go
+++ b/internal/dispatch/clustermodel_workers_test.go
@@ -96,7 +96,7 @@
 	a.worker.leaseEnd = a.leaseEnd
 	for _, e := range a.worker.ended {
 		// Ends before the last lease expiry of the worker may have been discarded by the platform's rules.
-		if e.Sequence <= a.worker.lapsed {
+		if e.Sequence <= a.worker.expiredSequence {
 			continue
 		}
 		if e.Sequence <= a.seen && job.End(e.End) == job.EndDone {
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -25,7 +25,7 @@
 			t.addAffected(run.Run, affected)
 		}
 		if suspects := t.suspectRuns(c); !c.Planned && !t.alreadyAttributed(suspects) {
-			a.recordDisconnect(c.FirstFailureMillis)
+			a.recordFirstFailure(c.FirstFailureMillis)
 			t.attributeCrash(a, host.Incarnation, suspects)
 		}
 		t.resolveReported(a.vm, c)
@@ -46,8 +46,8 @@
 	}
 }
 
-// suspicionChanged marks a job for commit after the crash history of a task changed, and ends the job if that gave it up.
-func (t *term) suspicionChanged(tracked *trackedJob, reason string) {
+// crashHistoryChanged marks a job for commit after the crash history of a task changed, and ends the job if that gave it up.
+func (t *term) crashHistoryChanged(tracked *trackedJob, reason string) {
 	t.markDirty(tracked)
 	if tracked.job.State() == job.Failed {
 		t.logger.Warn("job given up: %s", reason)
@@ -68,22 +68,22 @@
 	minSimultaneousLosses = 3
 )
 
-// recordDisconnect records when the agent's calls to the worker first failed, given as milliseconds before now; 0 stands
+// recordFirstFailure records when the agent's calls to the worker first failed, given as milliseconds before now; 0 stands
 // for no failure.
-func (a *agent) recordDisconnect(millis int64) {
+func (a *agent) recordFirstFailure(millis int64) {
 	if millis > 0 {
-		a.callsBrokenAt = time.Now().Add(-time.Duration(millis) * time.Millisecond)
+		a.firstFailure = time.Now().Add(-time.Duration(millis) * time.Millisecond)
 	}
 }
 
-// simultaneousCrashes returns the number of other workers whose calls failed simultaneously with those of an agent's worker.
+// simultaneousCrashes returns the number of other workers to which calls began to fail simultaneously with those to an agent's worker.
 func (t *term) simultaneousCrashes(own *agent) int {
-	if own.callsBrokenAt.IsZero() {
+	if own.firstFailure.IsZero() {
 		return 0
 	}
 	others := 0
 	for _, a := range t.agents {
-		if a != own && !a.callsBrokenAt.IsZero() && a.callsBrokenAt.Sub(own.callsBrokenAt).Abs() <= simultaneousWindow {
+		if a != own && !a.firstFailure.IsZero() && a.firstFailure.Sub(own.firstFailure).Abs() <= simultaneousWindow {
 			others++
 		}
 	}
@@ -162,8 +162,8 @@
 		history := s.tracked.job.CrashHistory(s.id)
 		t.logger.Info("worker crashed while running a task; task=%s run=%d vm=%s instance=%s cause=%s alone=%t age_ms=%d crashes=%d doubts=%d",
 			s.id, s.run, a.vm, id, finding.Attribution(), finding.Sole(), s.age.Milliseconds(), history.LikelyCrashes(), history.PossibleCrashes())
-		t.suspicionChanged(s.tracked, fmt.Sprintf("one of its tasks crashes its workers; task=%s crashes=%d doubts=%d", s.id, history.LikelyCrashes(), history.PossibleCrashes()))
+		t.crashHistoryChanged(s.tracked, fmt.Sprintf("one of its tasks crashes its workers; task=%s crashes=%d doubts=%d", s.id, history.LikelyCrashes(), history.PossibleCrashes()))
 	}
 	t.logger.Info("crash attributed; vm=%s instance=%s tasks=%d cleared=%d together=%t", a.vm, id, len(suspects), cleared, simultaneous)
-	t.wakeUp()
+	t.notifyChange()
 }
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -110,12 +110,12 @@
 			a := &fakeAgent{vm: "vm"}
 			leader := termWithPlacedTask(t, kvtest.New(), a)
 			for n := range others + 1 {
-				silent := testReport("i1")
-				silent.VM, silent.Unreachable, silent.FirstFailureMillis = fmt.Sprint(n), true, 1000
+				report := testReport("i1")
+				report.VM, report.Unreachable, report.FirstFailureMillis = fmt.Sprint(n), true, 1000
 				if n == others {
-					silent.FirstFailureMillis = 1000 + 2*simultaneousWindow.Milliseconds()
+					report.FirstFailureMillis = 1000 + 2*simultaneousWindow.Milliseconds()
 				}
-				_, err := leader.report(fakeSession{&fakeAgent{vm: silent.VM}}, silent)
+				_, err := leader.report(fakeSession{&fakeAgent{vm: report.VM}}, report)
 				assert.NilError(t, err)
 			}
 			r := crashReport(1, 1)
--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -35,7 +35,7 @@
 )
 
 func (o crashOutcome) String() string {
-	return [...]string{"told", "agent-killed", "lead-killed", "both-killed", "told-late", "vm-gone"}[o]
+	return [...]string{"reported", "agent-lost", "leader-replaced", "agent-lost-leader-replaced", "reported-late", "vm-lost"}[o]
 }
 
 // crashPattern is how a task crashes its workers: after which runtime, whether beside a task that has just started each time, and whether other
@@ -256,7 +256,7 @@
 func (s *crashSequence) crashAndReport(w *stormWorker, outcome crashOutcome) *stormWorker {
 	s.crash(w)
 	if s.pattern.withOtherCrashes {
-		s.reportOtherBrokenCalls()
+		s.reportOtherFailures()
 	}
 	// Tasks that ran beside the task start again after this time, so that they do not count for the same crash.
 	time.Sleep(stormDowntime)
@@ -289,8 +289,8 @@
 	return w
 }
 
-// reportOtherBrokenCalls reports to the leader that calls to two other workers have just begun to fail.
-func (s *crashSequence) reportOtherBrokenCalls() {
+// reportOtherFailures reports to the leader that calls to two other workers have just begun to fail.
+func (s *crashSequence) reportOtherFailures() {
 	for _, a := range s.otherAgents {
 		_, err := s.leader.report(fakeSession{a}, link.Report{VM: a.vm, Epoch: s.leader.epoch, FirstFailureMillis: 1})
 		assert.NilError(s.t, err)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -25,7 +25,7 @@
 	Newest() *policy.Policy
 	// Offer returns the newest configuration in its stored form.
 	Offer() link.Offer
-	// Accept adopts a configuration unless the present one is newer.
+	// Accept adopts a configuration unless the current one is newer.
 	Accept(offer link.Offer)
 }
 
--- a/internal/dispatch/entries.go
+++ b/internal/dispatch/entries.go
@@ -21,7 +21,7 @@
 	maxEntriesSent = 32
 )
 
-// entry is an entry by its last ping.
+// entry is the state of an entry as of its last ping.
 type entry struct {
 	lastPing time.Time
 	peer     *rpc.Peer
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -62,10 +62,10 @@
 	latest   map[string]int
 	ended    []link.Ended
 	sequence uint64
-	// leaseEnd is when the worker's lease ends, zero before the first renewal; lapsed is the sequence number of the last end
+	// leaseEnd is when the worker's lease ends, zero before the first renewal; expiredSequence is the number of the last end
 	// when the lease was last found expired.
-	leaseEnd time.Time
-	lapsed   uint64
+	leaseEnd        time.Time
+	expiredSequence uint64
 }
 
 type fakeRun struct {
@@ -89,7 +89,7 @@
 	leaseEnd      time.Time
 	seen          uint64
 	pendingOrders []link.Orders
-	// known is the incarnation that the agent last detected; worker is the present one, which may have restarted since.
+	// known is the incarnation that the agent last detected; worker is the current one, which may have restarted since.
 	known incarnation.ID
 	// listed holds the runs that the known incarnation has reported.
 	listed       map[link.Run]bool
@@ -145,7 +145,7 @@
 	a.worker = &fakeWorker{id: id, running: make(map[string]fakeRun), latest: make(map[string]int)}
 }
 
-// detectWorker lets the agent detect the present incarnation.
+// detectWorker lets the agent detect the current incarnation.
 func (a *fakeAgent) detectWorker() {
 	if a.known == a.worker.id {
 		return
@@ -189,7 +189,7 @@
 
 func (f *fakeWorker) expire() {
 	if !f.leaseEnd.IsZero() && time.Now().After(f.leaseEnd) {
-		f.lapsed = f.sequence
+		f.expiredSequence = f.sequence
 	}
 	for _, name := range sortedKeys(f.running) {
 		if time.Now().After(f.running[name].until) {
--- a/internal/dispatch/hosted.go
+++ b/internal/dispatch/hosted.go
@@ -48,7 +48,7 @@
 	progressedAt   time.Time
 	stalledSamples int
 	stallSampledAt time.Time
-	// pace is the pace of a best-effort task in percent, slowSince is the time since which it has been below slowPace.
+	// pace is the pace of a best-effort task in percent, slowSince is the time since which it has been at most slowPace.
 	pace      int
 	slowSince time.Time
 	// overTargetSince is the time since which a serving task has exceeded its latency target, zero while it does not.
@@ -160,7 +160,7 @@
 	if len(h.runs) == 0 {
 		t.hosts.remove(h.worker.Host)
 	}
-	t.wakeUp()
+	t.notifyChange()
 }
 
 // recordEnd records the end of a run, whichever phase its task is in.
--- a/internal/dispatch/hostset_test.go
+++ b/internal/dispatch/hostset_test.go
@@ -25,16 +25,16 @@
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			n := name()
-			present := model[n]
+			existing := model[n]
 			switch {
-			case present == nil:
+			case existing == nil:
 				model[n] = &hostState{worker: plan.Worker{Host: n}}
 				set.add(model[n])
 			case rapid.Bool().Draw(t, "rename"):
 				if next := name(); model[next] == nil {
 					delete(model, n)
-					model[next] = present
-					set.rename(present, next)
+					model[next] = existing
+					set.rename(existing, next)
 				}
 			default:
 				delete(model, n)
--- a/internal/dispatch/incarnations.go
+++ b/internal/dispatch/incarnations.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// retireIncarnation ends the runs of an incarnation that its agent reports as ended (reported) or, without such a report, that another
-// incarnation on its VM has replaced.
+// retireIncarnation ends the runs of an incarnation that has ended: reported is the agent's report of its end, nil if it was only replaced by
+// another incarnation on its VM.
 //
 // A late start is not lost with the incarnation that it was sent to: the next incarnation under the same id could carry it out beside the run
 // that replaces it. It stays placed until that incarnation has reported, and is stopped there first. current is the incarnation that the agent
--- a/internal/dispatch/incarnations_test.go
+++ b/internal/dispatch/incarnations_test.go
@@ -160,9 +160,9 @@
 	})
 }
 
-// TestNextLeaderStopsUnseenStart checks that the next leader stops a start of the previous incarnation, which it recognizes by the start time
+// TestNextLeaderStopsUnreportedStart checks that the next leader stops a start of the previous incarnation, which it recognizes by the start time
 // stored with the host, since that worker never reported the run to this leader.
-func TestNextLeaderStopsUnseenStart(t *testing.T) {
+func TestNextLeaderStopsUnreportedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
 		leader := termWithStartTime(t, store, a)
@@ -225,10 +225,10 @@
 		leader.dispatcher.config.Advisor = &fakeAdvisor{allowed: "i1"}
 		step := stepID{job: testJob}
 		leader.fetchAdvice(step, leader.openIncarnations(testService))
-		present := job.Host{VM: "vm", Incarnation: incarnation.New("i1", 1)}
-		assert.Equal(t, leader.ticket(present, job.TaskID{Job: testJob}), "ticket")
-		present.Incarnation = incarnation.New("i1", 2)
-		assert.Equal(t, leader.ticket(present, job.TaskID{Job: testJob}), "")
+		host := job.Host{VM: "vm", Incarnation: incarnation.New("i1", 1)}
+		assert.Equal(t, leader.ticket(host, job.TaskID{Job: testJob}), "ticket")
+		host.Incarnation = incarnation.New("i1", 2)
+		assert.Equal(t, leader.ticket(host, job.TaskID{Job: testJob}), "")
 	})
 }
 
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -42,7 +42,7 @@
 		t.applyCancel(item)
 	}
 	t.mu.Unlock()
-	t.wakeUp()
+	t.notifyChange()
 	return nil
 }
 
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -67,5 +67,5 @@
 	t.lease, t.leaseReplaced = lease, true
 	t.mu.Unlock()
 	t.logger.Info("the leader lease expired; the leader key is written again under a new lease")
-	t.wakeUp()
+	t.notifyChange()
 }
--- a/internal/dispatch/losses.go
+++ b/internal/dispatch/losses.go
@@ -97,12 +97,12 @@
 // lossesChanged handles a change of the losses of a task, for which its job may be given up.
 func (t *term) lossesChanged(tracked *trackedJob, id job.TaskID) {
 	losses := tracked.job.CrashHistory(id).Losses()
-	t.suspicionChanged(tracked, fmt.Sprintf("one of its tasks was lost with its workers too often; task=%s lost=%d crashed=%d alike=%d blind=%d",
+	t.crashHistoryChanged(tracked, fmt.Sprintf("one of its tasks was lost with its workers too often; task=%s lost=%d crashed=%d alike=%d blind=%d",
 		id, losses.Total(), losses.Crashed(), losses.Similar(), losses.UnknownLifetime()))
 }
 
 // resolveUnreachable resolves the losses of the unreachable incarnations of a VM's worker once its agent reports again: those
-// of the present incarnation were not lost, those of any other were lost by a crash.
+// of the current incarnation were not lost, those of any other were lost by a crash.
 func (t *term) resolveUnreachable(current job.Host) {
 	for host, incarnation := range t.unreachable {
 		if host.VM == current.VM {
--- a/internal/dispatch/losses_test.go
+++ b/internal/dispatch/losses_test.go
@@ -41,8 +41,8 @@
 	listed.Ended = []link.Ended{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Sequence: 1, End: int(job.EndLapsed)}}
 	planned := testReport("i2")
 	planned.Crashes = []link.Crash{{Number: 1, Instance: "i1", Planned: true}}
-	silent := testReport("i1")
-	silent.Unreachable = true
+	stillUnreachable := testReport("i1")
+	stillUnreachable.Unreachable = true
 	for name, c := range map[string]struct {
 		before         link.Report
 		silence        time.Duration
@@ -56,7 +56,7 @@
 		"planned end without draining":          {runningReport(), 0, planned, 0, 0},
 		"unreachable, planned end":              {runningReport(), unreachable, planned, 0, 0},
 		"unreachable, same incarnation reports": {runningReport(), unreachable, listed, 0, 0},
-		"unreachable, worker still silent":      {runningReport(), unreachable, silent, 1, 0},
+		"unreachable, still unreachable":        {runningReport(), unreachable, stillUnreachable, 1, 0},
 		"unreachable, crash reported":           {runningReport(), unreachable, crashReport(1, 1), 1, 1},
 		"unreachable, crash unreported":         {runningReport(), unreachable, testReport("i2"), 1, 1},
 		"unreachable, crashed without the run":  {runningReport(), unreachable, otherRun, 0, 0},
--- a/internal/dispatch/planning.go
+++ b/internal/dispatch/planning.go
@@ -23,7 +23,7 @@
 )
 
 // expireWorkers marks workers unschedulable after maxReportAge without a report, and unreachable once the agent lease has
-// expired.
+// expired, at the latest leaderTimeout after the start of the term if the agent has not reported in it.
 func (t *term) expireWorkers() {
 	now := time.Now()
 	t.expireUnreachable(now)
@@ -60,7 +60,7 @@
 	}
 }
 
-// stalled reports whether a run of finite duration has made no progress for too long.
+// stalled reports whether a run that is not long-running has made no progress for too long.
 func (p *placedRun) stalled() bool {
 	if p.step.LongRunning || !p.committed || p.stopping || p.startSentAt.IsZero() {
 		return false
@@ -82,7 +82,7 @@
 		h.worker.ServingTasks = t.servingTasks(h)
 		h.worker.BestEffortBlocked = len(h.runsWhere((*placedRun).longOverTarget)) > 0
 		h.recountUsage()
-		h.countUnproven()
+		h.countStarting()
 		workers = append(workers, &h.worker)
 	}
 	l := t.currentLoad()
@@ -105,7 +105,8 @@
 	}
 }
 
-// placementLimit returns how many tasks may be placed on a worker at once: one after repeated failures, else any number.
+// placementLimit returns how many more tasks may be placed on a worker: any number, but from probationFailures on one, and none
+// while a finite task runs there.
 func (h *hostState) placementLimit() int {
 	switch {
 	case h.consecutiveFailures < probationFailures:
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -11,7 +11,7 @@
 // commitWaitTimeout is how long the answer to a report, or to a query of a job's state, waits for a commit.
 const commitWaitTimeout = 300 * time.Millisecond
 
-// agent is an agent by its last report.
+// agent is the state of an agent as of its last report.
 type agent struct {
 	vm               string
 	hall             string
@@ -22,8 +22,8 @@
 	// rowReader decodes the reports of the session, fences are the fencing tokens granted to it.
 	rowReader *link.RowReader
 	fences    fenceRange
-	// callsBrokenAt is when the calls to the worker last began to fail, zero if they never did.
-	callsBrokenAt time.Time
+	// firstFailure is when the calls to the worker last began to fail, zero if they never did.
+	firstFailure time.Time
 	// pendingOrders are the orders that are not sent yet.
 	pendingOrders *link.Orders
 }
@@ -82,7 +82,7 @@
 	answer.Backlog = quantize(t.backlog.level, backlogResolution)
 	answer.Hall = t.hallStatus(r.Hall)
 	if len(t.dirty) > 0 {
-		t.wakeUp()
+		t.notifyChange()
 	}
 	return received, nil
 }
@@ -141,7 +141,7 @@
 // recordAgent records the session of an agent and the incarnation of its worker, and retires the previous incarnations on the VM.
 func (t *term) recordAgent(a *agent, s session, r link.Report) {
 	a.session, a.lastReport, a.hall = s, time.Now(), r.Hall
-	a.recordDisconnect(r.FirstFailureMillis)
+	a.recordFirstFailure(r.FirstFailureMillis)
 	if r.Instance == "" || !r.Fenced {
 		return
 	}
@@ -162,7 +162,7 @@
 	}
 	w := &t.ensureHost(current).worker
 	if open := !r.Draining && !r.Unreachable; open != w.Schedulable {
-		t.wakeUp()
+		t.notifyChange()
 	}
 	w.Service, w.Labels = r.Service, r.Labels
 	w.Capacity = job.Size{CPU: r.CPU, Memory: r.Memory, GPU: r.GPU}
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -37,7 +37,7 @@
 	return link.Report{VM: "vm", Epoch: FencesPerEpoch, Instance: instance, Service: testService, CPU: 1000, Memory: 1000, Fenced: true}
 }
 
-// TestEndsAreAcknowledgedPerInstance guards against acknowledging the number of an end to an incarnation that has reported none.
+// TestEndsAreAcknowledgedPerInstance guards against acknowledging end 7 of one incarnation to the next, which has reported none.
 func TestEndsAreAcknowledgedPerInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader := testTerm(t, kvtest.New())
@@ -60,22 +60,22 @@
 	})
 }
 
-// TestEndsOfSilentWorkerAreCommittedBeforeAcknowledgement guards against acknowledging an end before it is in the store.
-func TestEndsOfSilentWorkerAreCommittedBeforeAcknowledgement(t *testing.T) {
+// TestEndsOfUnreachableWorkerAreCommittedFirst guards against acknowledging end 7 before it is in the store.
+func TestEndsOfUnreachableWorkerAreCommittedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader := testTerm(t, kvtest.New())
 		a := &fakeAgent{vm: "vm"}
 		_, err := leader.report(fakeSession{a}, testReport("i1"))
 		assert.NilError(t, err)
 		assert.NilError(t, cycle(context.Background(), leader))
-		silent := testReport("i1")
-		silent.Unreachable = true
-		silent.Ended = []link.Ended{{Run: link.Run{Task: "00000000000000aa.0.0.0", Number: 1}, Sequence: 7}}
-		answer, err := leader.report(fakeSession{a}, silent)
+		unreachable := testReport("i1")
+		unreachable.Unreachable = true
+		unreachable.Ended = []link.Ended{{Run: link.Run{Task: "00000000000000aa.0.0.0", Number: 1}, Sequence: 7}}
+		answer, err := leader.report(fakeSession{a}, unreachable)
 		assert.NilError(t, err)
 		assert.Equal(t, answer.AcknowledgedEnds, uint64(0))
 		assert.NilError(t, cycle(context.Background(), leader))
-		answer, err = leader.report(fakeSession{a}, silent)
+		answer, err = leader.report(fakeSession{a}, unreachable)
 		assert.NilError(t, err)
 		assert.Equal(t, answer.AcknowledgedEnds, uint64(7))
 		assert.Equal(t, leader.jobs["00000000000000aa"].job.State(), job.Completed)
@@ -88,7 +88,7 @@
 		leader := testTerm(t, kvtest.New())
 		notified := func() bool {
 			select {
-			case <-leader.wake:
+			case <-leader.changed:
 				return true
 			default:
 				return false
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -17,7 +17,7 @@
 type restartKind int
 
 const (
-	// clockBehind and clockAhead restart under the same id with another clock, birthEarlier with a start time before the previous one.
+	// clockBehind and clockAhead restart under the same id with another clock, startTimeEarlier with a start time before the previous one.
 	clockBehind restartKind = iota
 	clockAhead
 	startTimeEarlier
@@ -46,18 +46,18 @@
 }
 
 func (r restart) String() string {
-	return fmt.Sprintf("at %v %s %s", r.at, [...]string{"clock-behind", "clock-ahead", "birth-earlier", "new-id", "old-id"}[r.kind],
-		[...]string{"alone", "leader-goes", "agent-goes", "both-go"}[r.concurrent])
+	return fmt.Sprintf("at %v %s %s", r.at, [...]string{"clock-behind", "clock-ahead", "start-time-earlier", "new-id", "reused-id"}[r.kind],
+		[...]string{"worker-only", "leader-fails", "agent-fails", "both-fail"}[r.concurrent])
 }
 
-// replayCase is a kind of task, the delay of starts, and the restarts of workers.
-type replayCase struct {
+// restartCase is a kind of task, the delay of starts, and the restarts of workers.
+type restartCase struct {
 	longRunning bool
 	startDelay  time.Duration
 	restarts    []restart
 }
 
-func (c replayCase) String() string {
+func (c restartCase) String() string {
 	return fmt.Sprintf("long-running=%t start-delay=%v %v", c.longRunning, c.startDelay, c.restarts)
 }
 
@@ -98,7 +98,7 @@
 }
 
 // runRestartCases runs the cases of each kind of task in parallel and reports all that fail.
-func runRestartCases(t *testing.T, cases func(longRunning bool, startDelay time.Duration) []replayCase) {
+func runRestartCases(t *testing.T, cases func(longRunning bool, startDelay time.Duration) []restartCase) {
 	t.Helper()
 	for _, longRunning := range []bool{false, true} {
 		for _, startDelay := range []time.Duration{0, 250 * time.Millisecond, 2 * time.Second} {
@@ -121,12 +121,12 @@
 }
 
 // singleRestartCases returns the cases of one kind of task with one crash.
-func singleRestartCases(longRunning bool, startDelay time.Duration) []replayCase {
-	var cases []replayCase
+func singleRestartCases(longRunning bool, startDelay time.Duration) []restartCase {
+	var cases []restartCase
 	for _, at := range crashTimes() {
 		for kind := range restartKinds {
 			for concurrent := range concurrentFailures {
-				cases = append(cases, replayCase{longRunning, startDelay, []restart{{at, kind, concurrent}}})
+				cases = append(cases, restartCase{longRunning, startDelay, []restart{{at, kind, concurrent}}})
 			}
 		}
 	}
@@ -135,13 +135,13 @@
 
 // doubleRestartCases returns the cases of one kind of task with two crashes: the second while the worker is down, just after its restart, before
 // its first report and after that.
-func doubleRestartCases(longRunning bool, startDelay time.Duration) []replayCase {
-	var cases []replayCase
+func doubleRestartCases(longRunning bool, startDelay time.Duration) []restartCase {
+	var cases []restartCase
 	for _, c := range singleRestartCases(longRunning, startDelay) {
 		first := c.restarts[0]
 		for _, after := range []time.Duration{10 * time.Millisecond, 620 * time.Millisecond, 900 * time.Millisecond, 1300 * time.Millisecond} {
 			for kind := range restartKinds {
-				cases = append(cases, replayCase{longRunning, startDelay, []restart{first, {first.at + after, kind, workerOnly}}})
+				cases = append(cases, restartCase{longRunning, startDelay, []restart{first, {first.at + after, kind, workerOnly}}})
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 // runRestartCase runs one case on two VMs and returns the violations.
-func runRestartCase(t *testing.T, c replayCase) []string {
+func runRestartCase(t *testing.T, c restartCase) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	p := newSimulation(ctx, t, 2, c.longRunning)
@@ -205,7 +205,7 @@
 }
 
 // awaitOutcome waits until the job is completed, or its long-running task runs after 6 s; it records a violation after recoveryLimit.
-func (p *simulation) awaitOutcome(c replayCase) {
+func (p *simulation) awaitOutcome(c restartCase) {
 	for began := time.Now(); time.Since(began) < recoveryLimit; time.Sleep(5 * time.Millisecond) {
 		state := p.state()
 		if state == job.Failed && len(c.restarts) >= minKnownCrashes {
--- a/internal/dispatch/resume_test.go
+++ b/internal/dispatch/resume_test.go
@@ -12,10 +12,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// TestResumedLeaderPermitsNothingBeforeVerification guards against a leader that grants agent leases after its VM was suspended. The next leader
+// TestResumedLeaderGrantsNothingBeforeVerification guards against a leader that grants agent leases after its VM was suspended. The next leader
 // takes over once the leader lease has expired and places unreported tasks again 10.4 s later. By the monotonic clock, which stops during the
 // suspension, the resumed leader would still grant 5 s.
-func TestResumedLeaderPermitsNothingBeforeVerification(t *testing.T) {
+func TestResumedLeaderGrantsNothingBeforeVerification(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -68,7 +68,7 @@
 	workers []*modelWorker
 	agents  []*runner.Runner
 	leaders int
-	// depose ends the present leader; killAgent ends the agent of each VM.
+	// depose ends the current leader; killAgent ends the agent of each VM.
 	depose             func()
 	killAgent          []func()
 	uptime             *boottimetest.Clock
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -19,11 +19,11 @@
 	reserveDivisor = 2
 )
 
-// recordStartupSurvival records that a run has survived its startup time, which reduces the suspicion of its task.
+// recordStartupSurvival records that a run has survived its startup time, which clears part of its task's crash history.
 func (t *term) recordStartupSurvival(h *hostState, id job.TaskID, p *placedRun) {
 	if !p.survivedStart {
 		p.survivedStart, p.survivedStartAt = true, time.Now()
-		t.wakeUp()
+		t.notifyChange()
 	}
 	tracked := t.jobs[id.Job]
 	if tracked == nil || p.step.Gang && !t.gangSurvivedStartup(tracked, id) {
@@ -48,8 +48,8 @@
 	return true
 }
 
-// countUnproven counts the runs on the worker that have not survived their startup, and clears its reservation for suspects.
-func (h *hostState) countUnproven() {
+// countStarting counts the runs on the worker that have not survived their startup, and clears its reservation for suspects.
+func (h *hostState) countStarting() {
 	w := &h.worker
 	w.Starting, w.SuspectStarting, w.ReservedForSuspect = 0, false, false
 	for _, p := range h.runs {
@@ -90,10 +90,10 @@
 
 // splitSuspects returns the waiting tasks of a step that may start together with others, and the suspects that start alone
 // with their highest suspicion score.
-func (k *trackedJob) splitSuspects(id job.TaskID, waiting []int, now time.Time) (others, suspects []int, score int) {
+func (j *trackedJob) splitSuspects(id job.TaskID, waiting []int, now time.Time) (others, suspects []int, score int) {
 	for _, id.Index = range waiting {
-		suspicion := k.job.CrashHistory(id)
-		if !suspicion.Suspect() || !k.waitsForOwnWorker(id, now) {
+		suspicion := j.job.CrashHistory(id)
+		if !suspicion.Suspect() || !j.waitsForOwnWorker(id, now) {
 			others = append(others, id.Index)
 			continue
 		}
@@ -102,11 +102,11 @@
 	return others, suspects, score
 }
 
-// waitsForOwnWorker reports whether a suspect still waits for a worker of its own, for at most maxSuspectWait.
-func (k *trackedJob) waitsForOwnWorker(id job.TaskID, now time.Time) bool {
-	since, waits := k.suspectedSince[id]
+// waitsForOwnWorker reports whether a suspect still waits for a worker without other starting tasks, for at most maxSuspectWait.
+func (j *trackedJob) waitsForOwnWorker(id job.TaskID, now time.Time) bool {
+	since, waits := j.suspectedSince[id]
 	if !waits {
-		k.suspectedSince[id] = now
+		j.suspectedSince[id] = now
 		return true
 	}
 	return now.Sub(since) < maxSuspectWait
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// TestLeaderYieldsToEntryThatReachesStore guards against a leader that keeps its leadership without access to the store until its lease expires.
-func TestLeaderYieldsToEntryThatReachesStore(t *testing.T) {
+// TestLeaderStepsDownForEntryThatReachesStore guards against a leader that keeps its leadership without access to the store until its lease expires.
+func TestLeaderStepsDownForEntryThatReachesStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestEntry("e", kvtest.New())
 		leader, err := d.tryAcquire(t.Context())
@@ -86,9 +86,9 @@
 	})
 }
 
-// TestWeakLeaderYieldsToMuchStrongerEntry guards against a weak leader that keeps its leadership until it fails. A weak entry becomes the leader
+// TestWeakLeaderStepsDownForMuchStrongerEntry guards against a weak leader that keeps its leadership until it fails. A weak entry becomes the leader
 // if it is the first to detect that there is none.
-func TestWeakLeaderYieldsToMuchStrongerEntry(t *testing.T) {
+func TestWeakLeaderStepsDownForMuchStrongerEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		weak := newTestEntry("weak", store)
@@ -96,17 +96,17 @@
 		leader, err := weak.tryAcquire(t.Context())
 		assert.NilError(t, err)
 		weak.term.Store(leader)
-		yieldsTo := func(strength float64, age time.Duration) bool {
+		stepsDownFor := func(strength float64, age time.Duration) bool {
 			answer, err := weak.ping(t.Context(), nil, link.Ping{Entry: "f", Address: "f", Strength: strength, StoreAgeMillis: age.Milliseconds()})
 			assert.NilError(t, err)
 			return answer.TakeOver
 		}
-		assert.Assert(t, !yieldsTo(0.8, 0), "the term has just begun")
+		assert.Assert(t, !stepsDownFor(0.8, 0), "the term has just begun")
 		time.Sleep(outrankTermAge + time.Millisecond)
-		assert.Assert(t, !yieldsTo(0.3, 0), "the entry is only slightly stronger")
-		assert.Assert(t, !yieldsTo(0.8, 2*outrankAnswerAge), "the entry's last answer from the store is too old")
-		assert.Assert(t, !yieldsTo(0.8, -time.Millisecond), "the store never answered the entry")
-		assert.Assert(t, yieldsTo(0.8, 0))
+		assert.Assert(t, !stepsDownFor(0.3, 0), "the entry is only slightly stronger")
+		assert.Assert(t, !stepsDownFor(0.8, 2*outrankAnswerAge), "the entry's last answer from the store is too old")
+		assert.Assert(t, !stepsDownFor(0.8, -time.Millisecond), "the store never answered the entry")
+		assert.Assert(t, stepsDownFor(0.8, 0))
 		strong := newTestEntry("strong", store)
 		strong.SuspectLeader(leader.epoch, "a test")
 		next, err := strong.tryAcquire(t.Context())
@@ -115,9 +115,9 @@
 	})
 }
 
-// TestRateLimitedLeaderYields guards against a rate-limited leader that keeps its leadership. In one fleet it did so for more than a second,
+// TestRateLimitedLeaderStepsDown guards against a rate-limited leader that keeps its leadership. In one fleet it did so for more than a second,
 // and 63 runs expired on workers whose agents had not found the next leader.
-func TestRateLimitedLeaderYields(t *testing.T) {
+func TestRateLimitedLeaderStepsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestEntry("e", kvtest.New())
 		leader, err := d.tryAcquire(t.Context())
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -43,7 +43,7 @@
 	endedJobRetention = 150 * time.Second
 )
 
-// term is the time in which a process is the leader of one epoch, with the state that it leads by.
+// term is the period in which a process leads under one epoch, with the state of the leader.
 type term struct {
 	dispatcher     *Dispatcher
 	epoch          uint64
@@ -51,7 +51,7 @@
 	store          kv.Store
 	logger         logging.Logger
 	startedAt      time.Time
-	wake           chan struct{}
+	changed        chan struct{}
 	done           chan struct{}
 	inputsRevision kv.Revision
 	// adviceMu serializes calls to the advisor; it is locked before mu.
@@ -92,7 +92,7 @@
 	// unreachable are the incarnations whose leases expired while they were unreachable, lateStarts are the late starts.
 	unreachable map[job.Host]unreachable
 	lateStarts  host.LateCalls[lateStart]
-	// otherAnsweredAt is when an entry last reported an answer from the store while the store did not answer the leader.
+	// otherAnsweredAt is when an entry last reported a newer answer from the store while the calls of the leader failed.
 	otherAnsweredAt time.Time
 	committed       chan struct{}
 }
@@ -100,7 +100,7 @@
 func newTerm(d *Dispatcher, epoch uint64, lease kv.LeaseID) *term {
 	return &term{
 		dispatcher: d, epoch: epoch, lease: lease, store: d.config.Store, logger: d.logger, startedAt: time.Now(),
-		wake: make(chan struct{}, 1), done: make(chan struct{}), committed: make(chan struct{}),
+		changed: make(chan struct{}, 1), done: make(chan struct{}), committed: make(chan struct{}),
 		jobs: make(map[job.ID]*trackedJob), hosts: newHostSet(), agents: make(map[string]*agent),
 		roster: newRoster(d.config.Address), dirty: make(map[job.ID]uint64), advice: make(map[stepID]*advice),
 		unreachable: make(map[job.Host]unreachable),
@@ -207,7 +207,7 @@
 // must verify its leadership before it grants agent leases.
 func (t *term) verificationAge() time.Duration { return t.now().Sub(t.verifiedAt) }
 
-func (t *term) wakeUp() { wait.Notify(t.wake) }
+func (t *term) notifyChange() { wait.Notify(t.changed) }
 
 // planAndCommit plans and commits whenever something has changed. Under load there is always something to commit: a plan waits for at most one
 // commit, and its placements are part of the next.
@@ -236,7 +236,7 @@
 func (t *term) awaitChange(ctx context.Context, ticks <-chan time.Time, earliest time.Time) {
 	select {
 	case <-ctx.Done():
-	case <-t.wake:
+	case <-t.changed:
 		wait.For(ctx, max(commitDelay, time.Until(earliest)))
 	case <-ticks:
 	}
--- a/internal/dispatch/tracked.go
+++ b/internal/dispatch/tracked.go
@@ -28,13 +28,13 @@
 }
 
 // updateIdle records the time since which no task of the job is placed.
-func (k *trackedJob) updateIdle(now time.Time) {
+func (j *trackedJob) updateIdle(now time.Time) {
 	placed := false
-	k.job.Each(func(_ job.TaskID, task *job.Task) { placed = placed || task.Phase() == job.Placed })
+	j.job.Each(func(_ job.TaskID, task *job.Task) { placed = placed || task.Phase() == job.Placed })
 	switch {
 	case placed:
-		k.idleSince = time.Time{}
-	case k.idleSince.IsZero():
-		k.idleSince = now
+		j.idleSince = time.Time{}
+	case j.idleSince.IsZero():
+		j.idleSince = now
 	}
 }
--- a/internal/runner/candidates.go
+++ b/internal/runner/candidates.go
@@ -152,5 +152,5 @@
 		r.recordEnd(w)
 		wait.Notify(r.reportDue)
 	}
-	w.terminated, w.silent, w.idChanged = true, true, w.idChanged || !sameID
+	w.terminated, w.unreachable, w.idChanged = true, true, w.idChanged || !sameID
 }
--- a/internal/runner/candidates_test.go
+++ b/internal/runner/candidates_test.go
@@ -167,12 +167,11 @@
 	assert.Assert(t, !r.Reported(host.Report{Incarnation: testID, Service: "other", Sequence: 4001}))
 }
 
-// TestRefusedCallDoesNotResolveCandidate reproduces a failure of the restart checker: a task neither ran nor ended, since an agent ignored its worker
-// for the whole incarnation.
+// TestRefusedCallDoesNotResolveCandidate guards against an agent that ignores its worker for a whole incarnation, so that a task neither runs nor ends.
 //
-// Order of events: the next incarnation reports; it refuses the call that verifies it, since another call has sent a higher fence meanwhile, or since
-// it is still starting. Cause: the refusal counted as the answer of another incarnation, and the candidate as ended. Evidence: the log line for an
-// ignored report of another incarnation, for the incarnation that was running, then those for reports of an ended incarnation until the test ended.
+// The next incarnation reports, and refuses the call that verifies it, since another call has sent a higher fence meanwhile or since it is still
+// starting. The refusal counted as the answer of another incarnation, and the candidate as ended: the agent logged that it ignored the report of
+// another incarnation, though that was running, and then all its reports as those of an ended incarnation.
 func TestRefusedCallDoesNotResolveCandidate(t *testing.T) {
 	for _, refusal := range []host.Refusal{host.RefusedFence, host.RefusedBusy} {
 		t.Run(refusal.String(), func(t *testing.T) {
--- a/internal/runner/crashes.go
+++ b/internal/runner/crashes.go
@@ -14,7 +14,7 @@
 		return
 	}
 	w.endRecorded = true
-	crash := link.Crash{Instance: w.id.Worker(), StartMillis: w.id.StartMillis(), Planned: w.left || w.report.Draining}
+	crash := link.Crash{Instance: w.id.Worker(), StartMillis: w.id.StartMillis(), Planned: w.deregistered || w.report.Draining}
 	if !crash.Planned {
 		crash.Runs = r.crashedRuns(w)
 	}
--- a/internal/runner/diagnostics.go
+++ b/internal/runner/diagnostics.go
@@ -18,7 +18,8 @@
 	})
 }
 
-// checkAcknowledgement logs an acknowledgement beyond the ended runs listed before: the worker discards ends that no leader has committed.
+// checkAcknowledgement logs an acknowledgement beyond the ended runs that the worker lists: with it the worker discards ends that no leader has
+// committed.
 func (r *Runner) checkAcknowledgement(id incarnation.ID, acknowledged uint64, view host.View) {
 	latest := uint64(0)
 	for _, e := range view.Ended {
--- a/internal/runner/fences.go
+++ b/internal/runner/fences.go
@@ -50,7 +50,7 @@
 
 // covers reports whether an incarnation that answered under a fence rejects all calls of earlier leaders and agents. One that crashed before the fence
 // was raised has answered under a lower fence than the current one, so first is the bound.
-func (f *fences) covers(number, epoch uint64) bool { return f.epoch == epoch && number >= f.first }
+func (f *fences) covers(fence, epoch uint64) bool { return f.epoch == epoch && fence >= f.first }
 
 // raise moves to the next fence if the current one was used, and reports whether the fences are exhausted.
 func (f *fences) raise() bool {
@@ -74,7 +74,7 @@
 }
 
 // recordAnswer records that the worker answered a call under a fence.
-func (f *fences) recordAnswer(number uint64) { f.confirmed = f.confirmed || number >= f.current }
+func (f *fences) recordAnswer(fence uint64) { f.confirmed = f.confirmed || fence >= f.current }
 
 // raiseFence raises the fence above all earlier calls, since the worker may have restarted. An agent without fences left reconnects for more.
 func (r *Runner) raiseFence() {
@@ -85,7 +85,8 @@
 	}
 }
 
-// adoptEpochAsFence uses the epoch as the fence if the worker rejects the current one: it was called by an agent of the previous release, which did so.
+// adoptEpochAsFence uses the epoch as the fence if the worker rejects the current one: an agent of the previous release, which uses the epoch, has
+// called it.
 func (r *Runner) adoptEpochAsFence(fence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/runner/hall.go
+++ b/internal/runner/hall.go
@@ -27,6 +27,6 @@
 }
 
 // allowsStart reports whether runs may start in the hall: it is open, as recently confirmed.
-func (h *hallState) allowsStart(now boottime.Instant, closedWithin time.Duration) bool {
-	return !h.latest.Closed && now.Sub(h.confirmedAt) <= hall.StaleAfter(closedWithin)
+func (h *hallState) allowsStart(now boottime.Instant, closureDelay time.Duration) bool {
+	return !h.latest.Closed && now.Sub(h.confirmedAt) <= hall.StaleAfter(closureDelay)
 }
--- a/internal/runner/incarnation_test.go
+++ b/internal/runner/incarnation_test.go
@@ -168,9 +168,9 @@
 		r := newIncarnationTest(t, worker)
 		r.config.MaxRenewal = 10 * time.Second
 		restartWorker(r, worker)
-		r.worker.silent = true
+		r.worker.unreachable = true
 		time.Sleep(8 * time.Second)
-		r.worker.silent = true
+		r.worker.unreachable = true
 		report, _ := r.compose()
 		assert.Assert(t, !report.LeaseExpired)
 	})
@@ -191,11 +191,10 @@
 	})
 }
 
-// TestRunOnNextIncarnationIsNotAttributedTheCrash reproduces a failure seen by callers in a test: a job was given up though no two workers had crashed
-// under a task of it.
+// TestRunOnNextIncarnationIsNotAttributedTheCrash guards against a job that is given up though no two workers crashed under a task of it.
 //
-// Order of events: a worker crashes and returns under its id; a start for the previous incarnation reaches the next one, which accepts it; the agent
-// finds the next incarnation. Cause: the crash was attributed to the run accepted last, and a job is given up after two such crashes.
+// A worker crashes and returns under its id; a start for the previous incarnation reaches the next one, which accepts it, before the agent detects the
+// next incarnation. The crash was attributed to the run accepted last, and a job is given up after two such crashes.
 func TestRunOnNextIncarnationIsNotAttributedTheCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -252,12 +251,12 @@
 	})
 }
 
-// TestStopOnTheNextIncarnationHidesNoCrash reproduces a soak (seed 9107): a task that crashes its workers was started three more times after three of
-// them had crashed.
+// TestStopOnTheNextIncarnationHidesNoCrash guards against a task that crashes its workers and is started three more times after three of them have
+// crashed, as in a soak (seed 9107).
 //
-// Order of events: a worker crashes under a run; the leader orders its stop; the worker returns under its id and answers the stop; the agent learns of
-// the new incarnation some milliseconds later. Cause: the agent attributed the answer to the crashed incarnation, removed the run, and reported a
-// crash without it. Evidence: such a crash with "runs=0", 2 ms after the stops of five runs there.
+// A worker crashes under a run and the leader orders the stop of the run; the worker returns under its id and answers the stop; the agent detects the
+// new incarnation some milliseconds later. The agent attributed the answer to the crashed incarnation, removed the run, and reported a crash without
+// it: it logged a crash with "runs=0" 2 ms after the stops of five runs there.
 func TestStopOnTheNextIncarnationHidesNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
--- a/internal/runner/late_test.go
+++ b/internal/runner/late_test.go
@@ -11,12 +11,12 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestLateStartOnRestartedWorkerDelaysStopReport reproduces seeds 9107 and 8909 of the soak: a task ran again beside its replacement, or after its end
-// had been acknowledged.
+// TestLateStartOnRestartedWorkerDelaysStopReport guards against a task that runs again beside its replacement, or after its acknowledged end, as with
+// seeds 9107 and 8909 of the soak.
 //
-// Order of events: a start gets no answer and is stopped, which the worker acknowledges; the leader places the task elsewhere, where it completes; the
-// worker crashes and returns under its id; the late start is carried out there before the agent knows of the new incarnation. Cause: a stop binds only
-// the incarnation that acknowledged it, and the start was still pending afterwards.
+// A start gets no answer and is stopped, which the worker acknowledges; the leader places the task elsewhere, where it completes; the worker crashes
+// and returns under its id, and carries out the late start before the agent detects the new incarnation. A stop binds only the incarnation that
+// acknowledged it, and the start was still pending afterwards.
 func TestLateStartOnRestartedWorkerDelaysStopReport(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
--- a/internal/runner/possible.go
+++ b/internal/runner/possible.go
@@ -26,8 +26,8 @@
 // ageAt returns for how long the worker had had the run at a time, usually that of the first failed call; a zero time is ignored.
 func (p *possibleRun) ageAt(at time.Time) time.Duration { return max(p.age(), at.Sub(p.sentAt)) }
 
-// possible are the runs that one incarnation of the worker may have.
-type possible map[host.Run]*possibleRun
+// runSet holds the runs that one incarnation of the worker may have.
+type runSet map[host.Run]*possibleRun
 
 // listed reports whether the incarnation has listed the run since the latest start for it was answered.
 func (p *possibleRun) listed() bool { return p.listings >= viewsAfterEvent }
@@ -36,13 +36,13 @@
 const viewsAfterEvent = 2
 
 // fresh reports whether a run is not known to have survived its startup.
-func (p possible) fresh(run host.Run) bool { return p[run] != nil && p[run].age() < crash.StartupTime }
+func (p runSet) fresh(run host.Run) bool { return p[run] != nil && p[run].age() < crash.StartupTime }
 
 // recordStart records that a start is about to be sent.
-func (p possible) recordStart(run host.Run) { p.entry(run).listings = 0 }
+func (p runSet) recordStart(run host.Run) { p.entry(run).listings = 0 }
 
 // entry returns the entry of a run, which it creates if there is none.
-func (p possible) entry(run host.Run) *possibleRun {
+func (p runSet) entry(run host.Run) *possibleRun {
 	if p[run] == nil {
 		p[run] = &possibleRun{sentAt: time.Now()}
 	}
@@ -50,7 +50,7 @@
 }
 
 // recordAccepted records that the worker accepted a start.
-func (p possible) recordAccepted(run host.Run) {
+func (p runSet) recordAccepted(run host.Run) {
 	if known := p[run]; known != nil {
 		known.answered = true
 	}
@@ -58,7 +58,7 @@
 
 // applyView updates the runs from a view. A run that is not listed once its start has expired is removed: a start given up with the leader that
 // ordered it would otherwise reserve capacity without end.
-func (p possible) applyView(view host.View, now time.Time) {
+func (p runSet) applyView(view host.View, now time.Time) {
 	for _, running := range view.Running {
 		known := p.entry(running.Run)
 		known.answered, known.listedAt = true, now
@@ -76,7 +76,7 @@
 
 // removeUnanswered removes a run whose start did not reach the worker or was refused, unless an earlier start of it was answered: a leader that misses
 // a run orders it again, even one under which the worker has just crashed.
-func (p possible) removeUnanswered(run host.Run) {
+func (p runSet) removeUnanswered(run host.Run) {
 	if known := p[run]; known != nil && !known.answered {
 		delete(p, run)
 	}
@@ -96,7 +96,7 @@
 
 // runsAtEnd returns the runs that the incarnation may have had when it ended: those that it had, and those whose start was sent too recently to have
 // expired.
-func (p possible) runsAtEnd(now time.Time) []host.Run {
+func (p runSet) runsAtEnd(now time.Time) []host.Run {
 	var runs []host.Run
 	for run, known := range p {
 		if known.answered || now.Sub(known.sentAt) < runLease {
--- a/internal/runner/possible_test.go
+++ b/internal/runner/possible_test.go
@@ -19,7 +19,7 @@
 // list after their starts have expired.
 func TestPossibleRunsOfAnIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runs := make(possible)
+		runs := make(runSet)
 		for number := range 4 {
 			runs.recordStart(testRun(number))
 		}
@@ -46,7 +46,7 @@
 }
 
 // runNumbers returns the sorted numbers of the runs that an incarnation may have had.
-func runNumbers(runs possible) []int {
+func runNumbers(runs runSet) []int {
 	var found []int
 	for _, run := range runs.runsAtEnd(time.Now()) {
 		found = append(found, run.Number)
--- a/internal/runner/renewal.go
+++ b/internal/runner/renewal.go
@@ -20,8 +20,8 @@
 	runLease = 3500 * time.Millisecond
 	// minClockRate is the lowest rate of the worker's clock relative to this one, by the platform's specification.
 	minClockRate = 0.98
-	// silentAfter is how long a worker may leave calls unanswered before it is reported as silent.
-	silentAfter = 1500 * time.Millisecond
+	// unreachableAfter is how long a worker may leave calls unanswered before it is reported as unreachable.
+	unreachableAfter = 1500 * time.Millisecond
 	// fenceTimeout bounds the renewal that sends a new fence; the next renewal sends it too.
 	fenceTimeout = 300 * time.Millisecond
 	// renewalRetryDelay is the time between two renewals if the previous one failed or returned ended runs that are not acknowledged yet.
@@ -148,7 +148,7 @@
 // stopExpiredRuns stops the runs still listed after the agent lease has expired: a worker that was suspended with its VM would continue them for up
 // to runLease after it resumes, beside the runs that the leader has placed elsewhere.
 func (r *Runner) stopExpiredRuns(w *workerState) {
-	if r.agentLeaseEnd.IsZero() || w.silent || r.config.Uptime.Now().Sub(r.agentLeaseEnd) < stopAfterExpiry {
+	if r.agentLeaseEnd.IsZero() || w.unreachable || r.config.Uptime.Now().Sub(r.agentLeaseEnd) < stopAfterExpiry {
 		return
 	}
 	for _, running := range w.view.Running {
@@ -162,7 +162,7 @@
 // runDeadline returns the time on the worker's clock until which its runs may continue, and stores it on this clock as leaseEnd. A worker that does not answer
 // gets no extension, so that its lease expires.
 func (r *Runner) runDeadline(w *workerState) host.Clock {
-	if w.silent {
+	if w.unreachable {
 		return 0
 	}
 	remaining := min(runLease, r.agentLeaseEnd.Sub(r.config.Uptime.Now()))
@@ -178,11 +178,11 @@
 	return w.clock + host.Clock(minClockRate*float64(end.Sub(w.clockReadAt)))
 }
 
-// maxDisconnectDelay is the longest time in which a renewal fails if its connection breaks; one to a silent worker fails later.
+// maxDisconnectDelay is the longest time in which a renewal fails if its connection breaks; one to a worker that does not answer fails later.
 const maxDisconnectDelay = renewalWait + 100*time.Millisecond
 
-// recordFailedRenewal records a renewal that failed. If its connection broke, that tells the time of a crash to the millisecond, while the last view
-// is up to half a second old.
+// recordFailedRenewal records a renewal that failed. A broken connection gives the time of a crash to the millisecond, while the last view is up to
+// half a second old.
 func (r *Runner) recordFailedRenewal(id incarnation.ID, sentAt time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,8 +202,8 @@
 		r.terminate(w, errors.Is(err, errSameID))
 		return
 	}
-	if !w.silent && time.Since(w.answeredAt) > silentAfter {
-		w.silent = true
+	if !w.unreachable && time.Since(w.answeredAt) > unreachableAfter {
+		w.unreachable = true
 		r.logger.Warn("worker does not answer; instance=%s reason=%v", id, err)
 		wait.Notify(r.reportDue)
 	}
@@ -228,10 +228,10 @@
 		// The agent dropped its orders meanwhile; the leader sends them again.
 		w.cancelOrders()
 	}
-	if w.silent {
+	if w.unreachable {
 		r.logger.Info("worker answers again; instance=%s", id)
 	}
-	w.clock, w.clockReadAt, w.answeredAt, w.silent = view.Clock, now, now, false
+	w.clock, w.clockReadAt, w.answeredAt, w.unreachable = view.Clock, now, now, false
 	w.confirmedAt = r.config.Uptime.Now()
 	w.firstFailure, w.terminated, w.idChanged = time.Time{}, false, false
 	w.highestFence = max(w.highestFence, renewal.Fence)
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -192,6 +192,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.worker != nil && r.worker.id == id {
-		r.worker.left = true
+		r.worker.deregistered = true
 	}
 }
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -161,12 +161,12 @@
 	})
 }
 
-func TestSilentWorkerIsNotRenewedAndLapses(t *testing.T) {
+func TestLeaseOfUnreachableWorkerExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
 		_, _, ok := r.nextRenewal()
 		assert.Assert(t, ok)
-		time.Sleep(silentAfter + time.Millisecond)
+		time.Sleep(unreachableAfter + time.Millisecond)
 		r.recordFailedRenewal(testID, time.Now(), fault.New(fault.OutcomeUnknown, "no answer"))
 		report, _ := r.compose()
 		assert.Assert(t, report.Unreachable && !report.LeaseExpired)
--- a/internal/runner/uplink.go
+++ b/internal/runner/uplink.go
@@ -233,8 +233,8 @@
 	report.Instance, report.StartMillis, report.Service, report.Labels = w.id.Worker(), w.id.StartMillis(), latest.Service, latest.Labels
 	report.CPU, report.Memory, report.GPU = latest.Capacity.CPU, latest.Capacity.Memory, latest.Capacity.GPU
 	report.Draining, report.RemainingMillis = latest.Draining, latest.Remaining.Milliseconds()
-	report.Unreachable, report.FirstFailureMillis = w.silent, millisSince(w.firstFailure)
-	report.LeaseExpired = w.silent && (w.idChanged || time.Now().After(w.leaseEnd))
+	report.Unreachable, report.FirstFailureMillis = w.unreachable, millisSince(w.firstFailure)
+	report.LeaseExpired = w.unreachable && (w.idChanged || time.Now().After(w.leaseEnd))
 	report.Fenced = w.views > 0 && r.fences.covers(w.highestFence, r.epoch)
 	w.addRuns(&report)
 	return report, w
--- a/internal/runner/worker.go
+++ b/internal/runner/worker.go
@@ -35,18 +35,18 @@
 	view             host.View
 	views            uint64
 	acknowledgedEnds uint64
-	silent           bool
-	// terminated reports whether the worker has another incarnation, idChanged whether that has another id, left whether this one deregistered before
+	unreachable      bool
+	// terminated reports whether the worker has another incarnation, idChanged whether that has another id, deregistered whether this one deregistered before
 	// its end, endRecorded whether its end is queued for the leader.
 	terminated bool
 	idChanged  bool
 	// runsOnNext are the runs of the next incarnation with the same id, which their starts reached.
-	runsOnNext  map[host.Run]bool
-	left        bool
-	endRecorded bool
-	orders      map[host.Run]*order
+	runsOnNext   map[host.Run]bool
+	deregistered bool
+	endRecorded  bool
+	orders       map[host.Run]*order
 	// possibleRuns are the runs that this incarnation may have.
-	possibleRuns possible
+	possibleRuns runSet
 	// refused is the highest refused run of each task; a repeated order for it is ignored.
 	refused  map[job.TaskID]int
 	profiles map[host.Run]link.Profile
@@ -86,7 +86,7 @@
 func newWorkerState(report host.Report, now time.Time) *workerState {
 	return &workerState{
 		id: report.Incarnation, report: report, clock: report.Clock, clockReadAt: now, answeredAt: now,
-		orders: make(map[host.Run]*order), possibleRuns: make(possible), refused: make(map[job.TaskID]int),
+		orders: make(map[host.Run]*order), possibleRuns: make(runSet), refused: make(map[job.TaskID]int),
 		profiles: make(map[host.Run]link.Profile), paces: make(map[host.Run]int),
 		violations: make(map[host.Run]time.Time), trackers: make(map[host.Run]*pressure.Tracker),
 		residuals: make(map[host.Run]*pressure.Residual),
