--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -45,13 +45,13 @@
 }
 
 type stepID struct {
-	job       job.ID
-	iteration int
-	step      int
+	job  job.ID
+	time int
+	step int
 }
 
 func (s stepID) String() string {
-	return job.TaskID{Job: s.job, Iteration: s.iteration, Step: s.step}.StepName()
+	return job.TaskID{Job: s.job, Iteration: s.time, Step: s.step}.StepName()
 }
 
 // ticketsFor returns the tickets of a step by worker, and requests new ones in the background if none are valid.
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -110,12 +110,12 @@
 			a := &fakeAgent{vm: "vm"}
 			leader := termWithPlacedTask(t, kvtest.New(), a)
 			for n := range others + 1 {
-				report := testReport("i1")
-				report.VM, report.Unreachable, report.FirstFailureMillis = fmt.Sprint(n), true, 1000
+				unreachable := testReport("i1")
+				unreachable.VM, unreachable.Unreachable, unreachable.FirstFailureMillis = fmt.Sprint(n), true, 1000
 				if n == others {
-					report.FirstFailureMillis = 1000 + 2*simultaneousWindow.Milliseconds()
+					unreachable.FirstFailureMillis = 1000 + 2*simultaneousWindow.Milliseconds()
 				}
-				_, err := leader.report(fakeSession{&fakeAgent{vm: report.VM}}, report)
+				_, err := leader.report(fakeSession{&fakeAgent{vm: unreachable.VM}}, unreachable)
 				assert.NilError(t, err)
 			}
 			r := crashReport(1, 1)
--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -35,7 +35,7 @@
 )
 
 func (o crashOutcome) String() string {
-	return [...]string{"reported", "agent-lost", "leader-replaced", "agent-lost-leader-replaced", "reported-late", "vm-lost"}[o]
+	return [...]string{"told", "agent-killed", "lead-killed", "both-killed", "told-late", "vm-gone"}[o]
 }
 
 // crashPattern is how a task crashes its workers: after which runtime, whether beside a task that has just started each time, and whether other
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -46,8 +46,8 @@
 }
 
 func (r restart) String() string {
-	return fmt.Sprintf("at %v %s %s", r.at, [...]string{"clock-behind", "clock-ahead", "start-time-earlier", "new-id", "reused-id"}[r.kind],
-		[...]string{"worker-only", "leader-fails", "agent-fails", "both-fail"}[r.concurrent])
+	return fmt.Sprintf("at %v %s %s", r.at, [...]string{"clock-behind", "clock-ahead", "birth-earlier", "new-id", "old-id"}[r.kind],
+		[...]string{"alone", "leader-goes", "agent-goes", "both-go"}[r.concurrent])
 }
 
 // restartCase is a kind of task, the delay of starts, and the restarts of workers.
