--- a/internal/dispatch/closures_test.go
+++ b/internal/dispatch/closures_test.go
@@ -142,7 +142,7 @@
 func TestNothingIsPlacedWhileClosuresAreUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClosureTest(t)
-		time.Sleep(testClosedWithin / 2)
+		time.Sleep(testClosureDelay / 2)
 		c.report(c.north)
 		c.runCycle()
 		assert.Equal(t, c.task().Phase(), job.Waiting)
@@ -158,7 +158,7 @@
 		c := newClosureTest(t)
 		c.report(c.north)
 		c.term.schedule()
-		time.Sleep(testClosedWithin / 2)
+		time.Sleep(testClosureDelay / 2)
 		c.report(c.north)
 		assert.NilError(t, c.term.commitChanges(context.Background()))
 		synctest.Wait()
--- a/internal/dispatch/clustermodel_property_test.go
+++ b/internal/dispatch/clustermodel_property_test.go
@@ -16,11 +16,11 @@
 
 // drawFailure lets a commit fail in a random way, at most three times in a row.
 func (m *clusterModel) drawFailure() kvtest.Failure {
-	if m.consecutiveTroubles > 2 || rapid.IntRange(0, 3).Draw(m.t, "trouble") > 0 {
-		m.consecutiveTroubles = 0
+	if m.consecutiveFailures > 2 || rapid.IntRange(0, 3).Draw(m.t, "trouble") > 0 {
+		m.consecutiveFailures = 0
 		return kvtest.None
 	}
-	m.consecutiveTroubles++
+	m.consecutiveFailures++
 	return rapid.SampledFrom([]kvtest.Failure{kvtest.Refused, kvtest.AnswerLost, kvtest.Late, kvtest.RequestLost}).Draw(m.t, "how")
 }
 
--- a/internal/dispatch/clustermodel_test.go
+++ b/internal/dispatch/clustermodel_test.go
@@ -28,7 +28,7 @@
 	completedTasks      map[string]bool
 	acknowledgedTasks   map[string]bool
 	failureCounts       map[string]int
-	consecutiveTroubles int
+	consecutiveFailures int
 	// closedSince has the time at which each closed hall was closed.
 	closedSince map[string]time.Time
 }
--- a/internal/dispatch/clustermodel_workers_test.go
+++ b/internal/dispatch/clustermodel_workers_test.go
@@ -43,7 +43,7 @@
 		r.Running = append(r.Running, link.Running{Run: run, Pace: 100})
 	}
 	for _, e := range a.worker.ended {
-		if e.Sequence > a.seen {
+		if e.Sequence > a.acknowledgedEnds {
 			r.Ended = append(r.Ended, e)
 		}
 	}
@@ -92,21 +92,21 @@
 		return
 	}
 	a.rejected = nil
-	a.seen = max(a.seen, answer.AcknowledgedEnds)
+	a.acknowledgedEnds = max(a.acknowledgedEnds, answer.AcknowledgedEnds)
 	a.worker.leaseEnd = a.leaseEnd
 	for _, e := range a.worker.ended {
 		// Ends before the last lease expiry of the worker may have been discarded by the platform's rules.
 		if e.Sequence <= a.worker.expiredSequence {
 			continue
 		}
-		if e.Sequence <= a.seen && job.End(e.End) == job.EndDone {
+		if e.Sequence <= a.acknowledgedEnds && job.End(e.End) == job.EndDone {
 			m.acknowledgedTasks[e.Task] = true
 		}
-		if e.Sequence <= a.seen && job.End(e.End) == job.EndFailed {
+		if e.Sequence <= a.acknowledgedEnds && job.End(e.End) == job.EndFailed {
 			m.failureCounts[e.Task]++
 		}
 	}
-	a.worker.ended = slices.DeleteFunc(a.worker.ended, func(e link.Ended) bool { return e.Sequence <= a.seen })
+	a.worker.ended = slices.DeleteFunc(a.worker.ended, func(e link.Ended) bool { return e.Sequence <= a.acknowledgedEnds })
 	for name, run := range a.worker.running {
 		run.until = a.leaseEnd
 		a.worker.running[name] = run
@@ -168,7 +168,7 @@
 	if !known {
 		m.t.Fatalf("%s: started, but not submitted", s.Task)
 	}
-	if since, closed := m.closedSince[a.hall]; closed && time.Since(since) > testClosedWithin {
+	if since, closed := m.closedSince[a.hall]; closed && time.Since(since) > testClosureDelay {
 		m.t.Fatalf("%s: run %d starts on %s in a hall that has been closed for %s", s.Task, s.Number, a.vm, time.Since(since))
 	}
 	step := spec.Steps[id.Step]
--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -211,8 +211,8 @@
 
 // awaitStart runs the leader until it has started the task on a worker, and returns false if the job has ended.
 func (s *crashSequence) awaitStart(w *stormWorker) bool {
-	const patience = 15 * time.Second
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(stormReportInterval) {
+	const timeout = 15 * time.Second
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(stormReportInterval) {
 		assert.NilError(s.t, s.leader.closures.Load(s.t.Context()))
 		s.report(w)
 		id, _ := s.task.TaskID()
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -36,7 +36,7 @@
 	clock := &boottimetest.Clock{}
 	return New(Config{
 		Uptime: clock, Process: name, Boot: name, Address: name, Strength: 1, Store: store, Health: &kv.Health{}, Policies: noPolicies{},
-		Closures: hall.New(store, testClosures, testClosedWithin, clock, logging.Discard()),
+		Closures: hall.New(store, testClosures, testClosureDelay, clock, logging.Discard()),
 		Logger:   logging.Discard(), Metrics: metric.New(),
 		Leader: follow.New(store, record.LeaderKey, record.DecodeLeader, logging.Discard()),
 	})
@@ -44,7 +44,7 @@
 
 const (
 	testClosures     = "closed/"
-	testClosedWithin = 5 * time.Second
+	testClosureDelay = 5 * time.Second
 )
 
 type noPolicies struct{}
@@ -84,11 +84,11 @@
 	hallConfirmedAt time.Time
 	connectedAt     time.Time
 	// session is the number of its connection to the leader.
-	session       uint64
-	epoch         uint64
-	leaseEnd      time.Time
-	seen          uint64
-	pendingOrders []link.Orders
+	session          uint64
+	epoch            uint64
+	leaseEnd         time.Time
+	acknowledgedEnds uint64
+	pendingOrders    []link.Orders
 	// known is the incarnation that the agent last detected; worker is the current one, which may have restarted since.
 	known incarnation.ID
 	// listed holds the runs that the known incarnation has reported.
@@ -150,7 +150,7 @@
 	if a.known == a.worker.id {
 		return
 	}
-	a.known, a.seen, a.rejected, a.refusedRuns = a.worker.id, 0, nil, make(map[string]int)
+	a.known, a.acknowledgedEnds, a.rejected, a.refusedRuns = a.worker.id, 0, nil, make(map[string]int)
 	a.listed = make(map[link.Run]bool)
 }
 
@@ -164,7 +164,7 @@
 
 // mayStart reports whether the hall is open by a recently confirmed status.
 func (a *fakeAgent) mayStart() bool {
-	return !a.latestHall.Closed && time.Since(a.hallConfirmedAt) <= hall.StaleAfter(testClosedWithin)
+	return !a.latestHall.Closed && time.Since(a.hallConfirmedAt) <= hall.StaleAfter(testClosureDelay)
 }
 
 // dropOrders discards all orders, since the leader may have given up their runs after the agent lease expired.
--- a/internal/dispatch/fences_test.go
+++ b/internal/dispatch/fences_test.go
@@ -43,14 +43,14 @@
 func checkFence(t *testing.T, startDelay time.Duration, r restart) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	p := newSimulation(ctx, t, 1, true)
-	w := p.workers[0]
+	s := newSimulation(ctx, t, 1, true)
+	w := s.workers[0]
 	time.Sleep(2 * time.Second)
 	w.startDelay = startDelay
-	p.submitJob()
+	s.submitJob()
 	time.Sleep(r.at)
 	sent := w.highestSentFence
-	p.crashWorker(r, 0)
+	s.crashWorker(r, 0)
 	time.Sleep(simulatedDowntime + lateStartWindow)
 	if r.concurrent == bothFail {
 		time.Sleep(leaderDiscoveryTime)
@@ -59,7 +59,7 @@
 	fence := w.fence
 	w.unlock()
 	cancel()
-	p.depose()
+	s.depose()
 	synctest.Wait()
 	assert.Assert(t, sent > 0 || r.at == crashBeforeStart)
 	assert.Assert(t, fence > sent, "the worker accepts starts sent with fence %d; its fence is %d", sent, fence)
@@ -102,11 +102,11 @@
 	for _, crashAt := range []time.Duration{150 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			p := newSimulation(ctx, t, 2, true)
+			s := newSimulation(ctx, t, 2, true)
 			time.Sleep(2 * time.Second)
-			p.submitJob()
+			s.submitJob()
 			time.Sleep(crashAt)
-			for _, w := range p.workers {
+			for _, w := range s.workers {
 				if w.run != nil {
 					w.restart(w.id, time.Second)
 					w.lock()
@@ -114,11 +114,11 @@
 					w.unlock()
 				}
 			}
-			assert.Equal(t, p.running(), 0)
+			assert.Equal(t, s.running(), 0)
 			time.Sleep(longRunningTaskRecoveryLimit)
-			running := p.running()
+			running := s.running()
 			cancel()
-			p.depose()
+			s.depose()
 			synctest.Wait()
 			assert.Equal(t, running, 1, "crashed at %v", crashAt)
 		})
--- a/internal/dispatch/latestart_test.go
+++ b/internal/dispatch/latestart_test.go
@@ -73,9 +73,9 @@
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
 		leader := termWithPlacedTask(t, store, a)
 		cancelJob(t, store, leader)
-		gone := testReport("i1")
-		gone.Rejected = []link.Rejected{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Refusal: 2}}
-		_, err := leader.report(fakeSession{a}, gone)
+		rejected := testReport("i1")
+		rejected.Rejected = []link.Rejected{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Refusal: 2}}
+		_, err := leader.report(fakeSession{a}, rejected)
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		for range 3 {
@@ -102,16 +102,18 @@
 	})
 }
 
-// silentSession is a session that acknowledges nothing.
-type silentSession struct{ fakeSession }
+// unresponsiveSession is a session that acknowledges nothing.
+type unresponsiveSession struct{ fakeSession }
 
-func (silentSession) send(link.Orders) error { return fault.New(fault.OutcomeUnknown, "no answer") }
+func (unresponsiveSession) send(link.Orders) error {
+	return fault.New(fault.OutcomeUnknown, "no answer")
+}
 
 // TestUnacknowledgedOrdersAreResentAfterNextReport guards against orders that are sent again only resendAfter later.
 func TestUnacknowledgedOrdersAreResentAfterNextReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
-		_, err := leader.report(silentSession{fakeSession{a}}, testReport("i1"))
+		_, err := leader.report(unresponsiveSession{fakeSession{a}}, testReport("i1"))
 		assert.NilError(t, err)
 		runCycle(t, leader)
 		assert.Equal(t, len(a.pendingOrders), 0)
--- a/internal/dispatch/modelworker_test.go
+++ b/internal/dispatch/modelworker_test.go
@@ -36,8 +36,8 @@
 	highestSentFence uint64
 }
 
-func newModelWorker(p *simulation, name string) *modelWorker {
-	w := &modelWorker{simulation: p, mu: make(chan struct{}, 1)}
+func newModelWorker(s *simulation, name string) *modelWorker {
+	w := &modelWorker{simulation: s, mu: make(chan struct{}, 1)}
 	w.reset(incarnation.New(name, clockStart), time.Hour)
 	return w
 }
@@ -122,10 +122,10 @@
 		defer w.unlock()
 		return w.startRun(start), nil
 	}
-	late := w.startDelay
+	delay := w.startDelay
 	w.unlock()
 	go func() {
-		wait.For(w.simulation.ctx, late)
+		wait.For(w.simulation.ctx, delay)
 		if w.lockForCall(id) == nil {
 			w.startRun(start)
 			w.unlock()
--- a/internal/dispatch/orderleak_test.go
+++ b/internal/dispatch/orderleak_test.go
@@ -20,18 +20,18 @@
 		for stopAt := time.Duration(0); stopAt < 6*time.Second; stopAt += 100 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				p := newSimulation(ctx, t, 1, false)
+				s := newSimulation(ctx, t, 1, false)
 				time.Sleep(2 * time.Second)
-				p.workers[0].startDelay = startDelay
-				p.submitJob()
+				s.workers[0].startDelay = startDelay
+				s.submitJob()
 				for n, after := range []time.Duration{time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
-					time.AfterFunc(after, func() { p.crashWorker(restart{kind: clockBehind, concurrent: workerOnly}, n) })
+					time.AfterFunc(after, func() { s.crashWorker(restart{kind: clockBehind, concurrent: workerOnly}, n) })
 				}
 				time.Sleep(stopAt)
-				p.killAgent[0]()
+				s.killAgent[0]()
 				leaked := runnerGoroutineStack()
 				cancel()
-				p.depose()
+				s.depose()
 				// By then late starts have ended, so that the bubble ends even if a goroutine leaked.
 				time.Sleep(time.Minute)
 				assert.Equal(t, leaked, "", "start-delay=%v agent ends at %v", startDelay, stopAt)
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -169,10 +169,12 @@
 	return nil
 }
 
-// named is a configuration that has the service of the tests.
-type named struct{ noPolicies }
+// testPolicies is a configuration that has the service of the tests.
+type testPolicies struct{ noPolicies }
 
-func (named) Newest() *policy.Policy { return policy.New(1, nil, map[string]int{testService: 3}, 0) }
+func (testPolicies) Newest() *policy.Policy {
+	return policy.New(1, nil, map[string]int{testService: 3}, 0)
+}
 
 // TestReportOfUnconfiguredServiceIsMarkedUnknown checks that the answer to a report marks a service that is in no configuration, so that the agent
 // discards a first report from an unknown sender.
@@ -182,14 +184,14 @@
 		a := &fakeAgent{vm: "vm"}
 		for _, configured := range []bool{false, true} {
 			if configured {
-				leader.dispatcher.config.Policies = named{}
+				leader.dispatcher.config.Policies = testPolicies{}
 			}
-			for service, foreign := range map[string]bool{testService: false, "other": configured} {
+			for service, unknown := range map[string]bool{testService: false, "other": configured} {
 				r := testReport("i1")
 				r.Service = service
 				answer, err := leader.report(fakeSession{a}, r)
 				assert.NilError(t, err)
-				assert.Equal(t, answer.UnknownService, foreign, service)
+				assert.Equal(t, answer.UnknownService, unknown, service)
 			}
 		}
 	})
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -152,39 +152,39 @@
 func runRestartCase(t *testing.T, c restartCase) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	p := newSimulation(ctx, t, 2, c.longRunning)
+	s := newSimulation(ctx, t, 2, c.longRunning)
 	time.Sleep(2 * time.Second)
-	for _, w := range p.workers {
+	for _, w := range s.workers {
 		w.startDelay = c.startDelay
 	}
 	began := time.Now()
-	p.submitJob()
+	s.submitJob()
 	for n, r := range c.restarts {
 		time.Sleep(r.at - time.Since(began))
-		p.crashWorker(r, n)
+		s.crashWorker(r, n)
 	}
-	for _, w := range p.workers {
+	for _, w := range s.workers {
 		w.startDelay = 0
 	}
-	p.awaitOutcome(c)
+	s.awaitOutcome(c)
 	cancel()
-	p.depose()
+	s.depose()
 	synctest.Wait()
-	return p.violations
+	return s.violations
 }
 
 // crashWorker crashes the worker that runs the task, or the first one if none does, together with the concurrent failure.
-func (p *simulation) crashWorker(r restart, n int) {
+func (s *simulation) crashWorker(r restart, n int) {
 	vm := 0
-	for i, w := range p.workers {
+	for i, w := range s.workers {
 		if w.run != nil {
 			vm = i
 		}
 	}
-	w := p.workers[vm]
+	w := s.workers[vm]
 	if r.concurrent == agentFails || r.concurrent == bothFail {
-		p.killAgent[vm]()
-		defer p.startAgent(vm)
+		s.killAgent[vm]()
+		defer s.startAgent(vm)
 	}
 	step := int64(n + 1)
 	switch r.kind {
@@ -200,14 +200,14 @@
 		w.restart(incarnation.New(fmt.Sprintf("i-%d", vm), clockStart+step), time.Second)
 	}
 	if r.concurrent == leaderFails || r.concurrent == bothFail {
-		p.elect()
+		s.elect()
 	}
 }
 
 // awaitOutcome waits until the job is completed, or its long-running task runs after 6 s; it records a violation after recoveryLimit.
-func (p *simulation) awaitOutcome(c restartCase) {
+func (s *simulation) awaitOutcome(c restartCase) {
 	for began := time.Now(); time.Since(began) < recoveryLimit; time.Sleep(5 * time.Millisecond) {
-		state := p.state()
+		state := s.state()
 		if state == job.Failed && len(c.restarts) >= minKnownCrashes {
 			// A task whose workers crash shortly after its start may be given up after two crashes.
 			return
@@ -217,9 +217,9 @@
 			time.Sleep(3 * time.Second)
 			return
 		}
-		if c.longRunning && time.Since(began) > 6*time.Second && p.running() == 1 {
+		if c.longRunning && time.Since(began) > 6*time.Second && s.running() == 1 {
 			return
 		}
 	}
-	p.recordViolation("the task neither runs nor has ended; running=%d", p.running())
+	s.recordViolation("the task neither runs nor has ended; running=%d", s.running())
 }
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -59,7 +59,7 @@
 
 func (pipeListener) Addr() net.Addr { return &net.IPAddr{} }
 
-// simulation is a real leader and real agents with model workers, all in synthetic time.
+// simulation is a real leader and real agents with model workers, all in fake time.
 type simulation struct {
 	t       *testing.T
 	ctx     context.Context
@@ -88,42 +88,42 @@
 )
 
 func newSimulation(ctx context.Context, t *testing.T, vms int, longRunning bool) *simulation {
-	p := &simulation{
+	s := &simulation{
 		t: t, ctx: ctx, store: kvtest.New(), network: make(pipeNetwork), uptime: &boottimetest.Clock{}, longRunning: longRunning,
 		taskTime: 400 * time.Millisecond, done: make(map[host.Run]bool),
 	}
 	for n := range vms {
-		p.workers = append(p.workers, newModelWorker(p, fmt.Sprintf("i-%d", n)))
-		p.agents, p.killAgent = append(p.agents, nil), append(p.killAgent, nil)
-		p.startAgent(n)
-		go p.workers[n].serve(ctx, n)
+		s.workers = append(s.workers, newModelWorker(s, fmt.Sprintf("i-%d", n)))
+		s.agents, s.killAgent = append(s.agents, nil), append(s.killAgent, nil)
+		s.startAgent(n)
+		go s.workers[n].serve(ctx, n)
 	}
-	p.elect()
-	return p
+	s.elect()
+	return s
 }
 
 // elect replaces the leader by another process.
-func (p *simulation) elect() {
-	if p.depose != nil {
-		p.depose()
+func (s *simulation) elect() {
+	if s.depose != nil {
+		s.depose()
 	}
-	p.store.RemoveLeasedKeys()
-	p.leaders++
-	name := fmt.Sprintf("e%d", p.leaders)
-	d := newTestEntry(name, p.store)
+	s.store.RemoveLeasedKeys()
+	s.leaders++
+	name := fmt.Sprintf("e%d", s.leaders)
+	d := newTestEntry(name, s.store)
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
 	d.Register(mux)
-	p.network[name] = make(chan net.Conn)
-	server := rpc.Serve(pipeListener{conns: p.network[name], closed: make(chan struct{})}, "", mux, rpc.ProcessLimits())
-	ctx, cancel := context.WithCancel(p.ctx)
+	s.network[name] = make(chan net.Conn)
+	server := rpc.Serve(pipeListener{conns: s.network[name], closed: make(chan struct{})}, "", mux, rpc.ProcessLimits())
+	ctx, cancel := context.WithCancel(s.ctx)
 	leader, err := d.tryAcquire(ctx)
-	assert.NilError(p.t, err)
+	assert.NilError(s.t, err)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		d.serveTerm(ctx, leader)
 	}()
-	p.depose = func() {
+	s.depose = func() {
 		cancel()
 		server.Close()
 		<-ended
@@ -131,52 +131,52 @@
 }
 
 // startAgent starts the agent of a VM, at first or after killAgent.
-func (p *simulation) startAgent(n int) {
+func (s *simulation) startAgent(n int) {
 	health := &kv.Health{}
 	mux := rpc.NewMux(timeline.NewClock(time.Now))
 	pool := relay.NewPool("", "", mux, nil)
 	r := runner.New(runner.Config{
-		VM: fmt.Sprintf("vm%d", n), ClosureDelay: testClosedWithin, MaxRenewal: 6 * time.Second, Worker: p.workers[n],
-		Store: relay.New(p.store, health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: p.network.dial,
-		Uptime: p.uptime, Random: func() float64 { return 0.5 }, Logger: logging.Discard(), Metrics: metric.New(),
+		VM: fmt.Sprintf("vm%d", n), ClosureDelay: testClosureDelay, MaxRenewal: 6 * time.Second, Worker: s.workers[n],
+		Store: relay.New(s.store, health, pool), Pool: pool, Clock: timeline.NewClock(time.Now), Dial: s.network.dial,
+		Uptime: s.uptime, Random: func() float64 { return 0.5 }, Logger: logging.Discard(), Metrics: metric.New(),
 	})
-	ctx, cancel := context.WithCancel(p.ctx)
+	ctx, cancel := context.WithCancel(s.ctx)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		_ = r.Run(ctx)
 	}()
-	p.agents[n] = r
-	p.killAgent[n] = func() {
+	s.agents[n] = r
+	s.killAgent[n] = func() {
 		cancel()
 		<-ended
 	}
 }
 
 // submitJob stores an accepted job of one task.
-func (p *simulation) submitJob() {
-	spec := job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: p.taskTime, LongRunning: p.longRunning}}}
+func (s *simulation) submitJob() {
+	spec := job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000, Memory: 1000}, Estimate: s.taskTime, LongRunning: s.longRunning}}}
 	value, err := job.Encode(spec, job.Queue{Service: testService, Attempts: 3, Stretch: 2}, time.Now())
-	assert.NilError(p.t, err)
-	_, err = p.store.Commit(p.ctx, kv.Txn{Puts: []kv.Put{{Key: record.JobKey(testJob), Value: value}}})
-	assert.NilError(p.t, err)
+	assert.NilError(s.t, err)
+	_, err = s.store.Commit(s.ctx, kv.Txn{Puts: []kv.Put{{Key: record.JobKey(testJob), Value: value}}})
+	assert.NilError(s.t, err)
 }
 
 // state returns the stored state of the job.
-func (p *simulation) state() job.State {
-	item, err := p.store.Get(p.ctx, record.ProgressKey(testJob))
+func (s *simulation) state() job.State {
+	item, err := s.store.Get(s.ctx, record.ProgressKey(testJob))
 	if err != nil || item.Revision() == 0 {
 		return job.Queued
 	}
 	state, err := job.DecodeState(item.Value())
-	assert.NilError(p.t, err)
+	assert.NilError(s.t, err)
 	return state
 }
 
 // running counts the runs of the task on all workers.
-func (p *simulation) running() int {
+func (s *simulation) running() int {
 	count := 0
-	for _, w := range p.workers {
+	for _, w := range s.workers {
 		if w.run != nil {
 			count++
 		}
@@ -184,6 +184,6 @@
 	return count
 }
 
-func (p *simulation) recordViolation(format string, args ...any) {
-	p.violations = append(p.violations, fmt.Sprintf(format, args...))
+func (s *simulation) recordViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
--- a/internal/dispatch/state_test.go
+++ b/internal/dispatch/state_test.go
@@ -17,7 +17,7 @@
 // only 250 ms later, which is all the slack that a short job has.
 func TestStateWaitsForCommitOfLastEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const id, commits = job.ID("00000000000000aa"), 20 * time.Millisecond
+		const id, commitTime = job.ID("00000000000000aa"), 20 * time.Millisecond
 		leader, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
 		_, err := leader.report(fakeSession{a}, testReport("i1"))
 		assert.NilError(t, err)
@@ -30,12 +30,12 @@
 		ended.Ended = []link.Ended{{Run: link.Run{Task: string(id) + ".0.0.0", Number: 1}, Sequence: 1, End: int(job.EndDone)}}
 		go func() { _, _ = leader.report(fakeSession{a}, ended) }()
 		synctest.Wait()
-		asked := time.Now()
-		time.AfterFunc(commits, func() { assert.Check(t, cycle(context.Background(), leader)) })
+		askedAt := time.Now()
+		time.AfterFunc(commitTime, func() { assert.Check(t, cycle(context.Background(), leader)) })
 		state, known = leader.jobState(id)
 		assert.Assert(t, known)
 		assert.Equal(t, state, job.Completed)
-		assert.Equal(t, time.Since(asked), commits)
+		assert.Equal(t, time.Since(askedAt), commitTime)
 	})
 }
 
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -51,7 +51,7 @@
 	lastBurst time.Time
 	// crashAfter is the age at which a crashing task crashes its worker.
 	crashAfter time.Duration
-	// unreported says that each agent ends with its worker, so that no agent reports crashes.
+	// unreported makes each agent end with its worker, so that no agent reports crashes.
 	unreported bool
 	crashing   map[job.ID]bool
 	starts     map[string]int
--- a/internal/runner/candidates_test.go
+++ b/internal/runner/candidates_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// TestDelayedReportDoesNotRestorePreviousIncarnation failed with i-1 in place of i-2: the incarnation that reported last became the current one.
+// TestDelayedReportDoesNotRestorePreviousIncarnation guards against i-1 in place of i-2: the incarnation that reported last became the current one.
 func TestDelayedReportDoesNotRestorePreviousIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID}
@@ -47,7 +47,8 @@
 	})
 }
 
-// TestReportOfUnknownIncarnationIsVerified failed in the same way: an agent that started after the crash did not know i-1.
+// TestReportOfUnknownIncarnationIsVerified guards against the same for a delayed report of an incarnation that the agent has no record of, since the
+// agent started after its crash.
 func TestReportOfUnknownIncarnationIsVerified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID}
@@ -86,7 +87,7 @@
 	assert.Equal(t, len(ended), maxEnded)
 }
 
-// TestNewFenceIsSentDuringAWaitingRenewal failed with reports that a new leader could not use for up to half a second.
+// TestNewFenceIsSentDuringAWaitingRenewal guards against reports that a new leader cannot use for up to half a second.
 func TestNewFenceIsSentDuringAWaitingRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{current: testID})
@@ -102,7 +103,7 @@
 	})
 }
 
-// TestOutdatedViewIsIgnored failed with the runs of the older view.
+// TestOutdatedViewIsIgnored guards against reporting the runs of an older view that arrives later.
 func TestOutdatedViewIsIgnored(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	newer := host.View{Clock: host.Clock(2 * time.Second), Running: []host.Running{{Run: testRun(2)}}}
@@ -113,8 +114,8 @@
 	assert.Equal(t, report.Running[0].Number, 2)
 }
 
-// TestUnknownSendersDoNotDelayNextIncarnation failed because there was one slot for a candidate: each report of another incarnation replaced the
-// real candidate before the worker was asked, so it was resolved only if no other sender reported meanwhile.
+// TestUnknownSendersDoNotDelayNextIncarnation guards against a single slot for candidates: each report of another incarnation replaced the real
+// candidate before the worker was asked, so it was resolved only if no other sender reported meanwhile.
 func TestUnknownSendersDoNotDelayNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID, refusalDelay: 20 * time.Millisecond}
@@ -152,8 +153,8 @@
 	assert.Equal(t, len(r.candidates), maxCandidates)
 }
 
-// TestFirstReportOfUnknownServiceIsReplaced once the leader reports that no configuration names its service. Nothing of it is kept: its sequence does
-// not bound the worker's own, and its draining flag is dropped.
+// TestFirstReportOfUnknownServiceIsReplaced checks that the worker's own report replaces it once the leader reports that no configuration names its
+// service. Nothing of it is kept: its sequence does not bound the worker's own, and its draining flag is dropped.
 func TestFirstReportOfUnknownServiceIsReplaced(t *testing.T) {
 	r := newTest(&fakeWorker{})
 	r.worker = newWorkerState(host.Report{Incarnation: testID, Service: "other", Sequence: 4000, Draining: true}, time.Now())
--- a/internal/runner/capacity_test.go
+++ b/internal/runner/capacity_test.go
@@ -43,8 +43,8 @@
 	r.Reported(next)
 }
 
-// TestStartBeyondReducedCapacityIsRefused failed with all three starts on a worker that does not check its capacity: the leader had planned them by
-// the capacity reported before.
+// TestStartBeyondReducedCapacityIsRefused guards against three starts on a worker that has capacity for two and does not check it: the leader had
+// planned them by the capacity reported before.
 func TestStartBeyondReducedCapacityIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -58,7 +58,7 @@
 	})
 }
 
-// TestStoppingRunStillTakesCapacity until the worker lists its end.
+// TestStoppingRunStillTakesCapacity checks that a run takes capacity until the worker lists its end.
 func TestStoppingRunStillTakesCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
--- a/internal/runner/discovery_test.go
+++ b/internal/runner/discovery_test.go
@@ -55,7 +55,7 @@
 	assert.Equal(t, retryAfter(fault.New(fault.Unavailable, "no answer")), time.Duration(0))
 }
 
-// TestLeaderThatIsLoadingJobsIsRetriedSoon failed with agents that came some milliseconds early and then waited 1.5 s for a later leader.
+// TestLeaderThatIsLoadingJobsIsRetriedSoon guards against agents that come some milliseconds early and then wait 1.5 s for a later leader.
 func TestLeaderThatIsLoadingJobsIsRetriedSoon(t *testing.T) {
 	assert.Equal(t, failedEpoch(7, false, fault.New(fault.Stale, "this entry does not lead")), uint64(0))
 	assert.Equal(t, failedEpoch(7, true, fault.New(fault.Unavailable, "the leader closed the connection")), uint64(0))
--- a/internal/runner/fakes_test.go
+++ b/internal/runner/fakes_test.go
@@ -112,10 +112,10 @@
 }
 
 // setUnavailable makes the worker refuse connections, or accept them again.
-func (f *fakeWorker) setUnavailable(away bool) {
+func (f *fakeWorker) setUnavailable(unavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unavailable = away
+	f.unavailable = unavailable
 }
 
 // restart replaces the current incarnation.
--- a/internal/runner/fences_test.go
+++ b/internal/runner/fences_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestAgentReplacesOneOfPreviousRelease, which used the epoch as the fence.
+// TestAgentReplacesOneOfPreviousRelease checks an agent whose predecessor used the epoch as the fence.
 func TestAgentReplacesOneOfPreviousRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID, acknowledgedEnds: make(map[incarnation.ID]uint64), highestFences: map[incarnation.ID]uint64{testID: 9}}
--- a/internal/runner/hall_test.go
+++ b/internal/runner/hall_test.go
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
 		r := newTest(worker)
-		time.Sleep(hall.StaleAfter(testClosedWithin) + time.Millisecond)
+		time.Sleep(hall.StaleAfter(testClosureDelay) + time.Millisecond)
 		_, err := r.handleOrders(context.Background(), nil, startOrders())
 		assert.NilError(t, err)
 		synctest.Wait()
--- a/internal/runner/incarnation_test.go
+++ b/internal/runner/incarnation_test.go
@@ -49,7 +49,8 @@
 	time.Sleep(time.Second)
 }
 
-// TestNextIncarnationInheritsNoState under the same id: neither views, reports, clock, lease nor acknowledgements.
+// TestNextIncarnationInheritsNoState checks that the next incarnation under the same id inherits neither views, reports, clock, lease nor
+// acknowledgements.
 func TestNextIncarnationInheritsNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{}
@@ -136,7 +137,7 @@
 	})
 }
 
-// TestOrdersForAnEndedIncarnationAreNotCarriedOut, even before the next incarnation reports, which the calls would reach.
+// TestOrdersForAnEndedIncarnationAreNotCarriedOut also covers the time before the next incarnation reports, when the calls would reach it.
 func TestOrdersForAnEndedIncarnationAreNotCarriedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -228,7 +229,7 @@
 	})
 }
 
-// TestRunsOfACrashedIncarnationAreSettled once it has listed them and no start of them may still be carried out.
+// TestRunsOfACrashedIncarnationAreSettled checks that a run is settled once it was listed and no start of it may still be carried out.
 func TestRunsOfACrashedIncarnationAreSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
--- a/internal/runner/possible_test.go
+++ b/internal/runner/possible_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// TestRunOrderedAgainAfterACrashIsReported failed with no run in the crash: a leader orders a run again that is missing from reports, and the ended
-// worker refuses the connection. That the second start was not sent does not undo the first.
+// TestRunOrderedAgainAfterACrashIsReported guards against a crash report without the run: a leader orders a run again that is missing from reports,
+// and the ended worker refuses the connection. That the second start was not sent does not undo the first.
 func TestRunOrderedAgainAfterACrashIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, worker := newStartedTest(t)
@@ -117,7 +117,7 @@
 	return report.Crashes
 }
 
-// TestCrashIsReportedUntilALeaderCommitsIt, also to the next leader.
+// TestCrashIsReportedUntilALeaderCommitsIt also checks that the next leader gets the report.
 func TestCrashIsReportedUntilALeaderCommitsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, worker := newStartedTest(t)
@@ -135,7 +135,7 @@
 	})
 }
 
-// TestReportHasTimeOfFirstFailedCall, by which a leader recognizes workers that crashed at the same time.
+// TestReportHasTimeOfFirstFailedCall checks the time by which a leader recognizes workers that crashed at the same time.
 func TestReportHasTimeOfFirstFailedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, worker := newStartedTest(t)
@@ -150,7 +150,7 @@
 	})
 }
 
-// TestPlannedEndIsReportedAsPlanned if the worker was draining or had deregistered.
+// TestPlannedEndIsReportedAsPlanned checks that an end is planned if the worker was draining or had deregistered.
 func TestPlannedEndIsReportedAsPlanned(t *testing.T) {
 	for name, leave := range map[string]func(*Runner){
 		"draining": func(r *Runner) {
@@ -184,7 +184,7 @@
 	assert.Equal(t, c.unacknowledged[maxCrashes-1].crash.Number, uint64(3*maxCrashes))
 }
 
-// TestCrashWithoutRunsIsReported, so that a leader does not attribute it to tasks that it had only placed there.
+// TestCrashWithoutRunsIsReported guards against a leader that attributes the crash to tasks that it had only placed there.
 func TestCrashWithoutRunsIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{current: testID, answerStart: accept}
@@ -198,7 +198,8 @@
 	})
 }
 
-// TestStoppedRunTakesNoCapacity once later views show that the incarnation which answered the stop is still running.
+// TestStoppedRunTakesNoCapacity checks that a stopped run is removed once later views show that the incarnation which answered the stop is still
+// running.
 func TestStoppedRunTakesNoCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newStartedTest(t)
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -22,7 +22,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/timeline"
 )
 
-const testClosedWithin = 5 * time.Second
+const testClosureDelay = 5 * time.Second
 
 // sameIncarnation compares incarnations by their value.
 var sameIncarnation = cmp.Comparer(func(a, b incarnation.ID) bool { return a == b })
@@ -36,7 +36,7 @@
 
 // newTest returns an agent that follows epoch 3 and has a worker and an agent lease of 5 seconds.
 func newTest(worker *fakeWorker) *Runner {
-	r := New(Config{VM: "vm", ClosureDelay: testClosedWithin, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Random: func() float64 { return 0.5 }, Metrics: metric.New()})
+	r := New(Config{VM: "vm", ClosureDelay: testClosureDelay, Worker: worker, Logger: logging.Discard(), Clock: timeline.NewClock(time.Now), Uptime: &boottimetest.Clock{}, Random: func() float64 { return 0.5 }, Metrics: metric.New()})
 	r.Reported(host.Report{Incarnation: testID, Service: "s", Capacity: job.Size{CPU: 4000, Memory: 1000}, Sequence: 1})
 	r.epoch = 3
 	r.fences.grant(3, 3, 3)
@@ -230,8 +230,8 @@
 	}})
 }
 
-// TestNoBestEffortStartDuringSustainedViolation failed with best-effort tasks that were started two seconds after a serving task had begun to violate
-// its target, which it then did for four seconds.
+// TestNoBestEffortStartDuringSustainedViolation guards against best-effort tasks that start two seconds after a serving task began to violate its
+// target, which it then did for four seconds.
 func TestNoBestEffortStartDuringSustainedViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
@@ -257,7 +257,7 @@
 	})
 }
 
-// TestNewBestEffortTaskIsThrottledDuringViolation failed with a task of another image that ran at full pace until paces were next chosen.
+// TestNewBestEffortTaskIsThrottledDuringViolation guards against a task of another image that runs at full pace until paces are next chosen.
 func TestNewBestEffortTaskIsThrottledDuringViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
@@ -276,8 +276,8 @@
 	})
 }
 
-// TestViolationAtFirstViewCountsAsSustained failed with an agent that restarted beside a task that already violated its target, and took two seconds
-// more to throttle what slowed it down.
+// TestViolationAtFirstViewCountsAsSustained guards against an agent that restarts beside a task that already violates its target, and takes two
+// seconds more to throttle what slows it down.
 func TestViolationAtFirstViewCountsAsSustained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
@@ -290,8 +290,8 @@
 	})
 }
 
-// TestPaceUsesLoadReportedByTheLeader: the leader predicts from all workers that a load is about to rise, which the measurements of one task on one
-// worker do not show yet; a load reported too long ago is not used.
+// TestPaceUsesLoadReportedByTheLeader checks that the load reported by the leader is used: it predicts from all workers that a load is about to rise,
+// which the measurements of one task on one worker do not show yet. A load reported too long ago is not used.
 func TestPaceUsesLoadReportedByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
--- a/internal/runner/suspended_test.go
+++ b/internal/runner/suspended_test.go
@@ -21,8 +21,8 @@
 	clock.Suspend(d)
 }
 
-// TestResumedAgentDoesNotRenewBeyondItsLease: a leader gives runs up once an agent lease of 5 s has expired, and places them elsewhere. By the steady
-// clock a resumed agent would extend its worker's runs by as long as it was suspended.
+// TestResumedAgentDoesNotRenewBeyondItsLease guards against an agent that resumes and, by the steady clock, extends its worker's runs by as long as
+// it was suspended: a leader gives runs up once an agent lease of 5 s has expired, and places them elsewhere.
 func TestResumedAgentDoesNotRenewBeyondItsLease(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestClockReadBeforeSuspensionIsNotAdvanced by the suspension, in which the worker's clock may have stopped as well.
+// TestClockReadBeforeSuspensionIsNotAdvanced checks that the reading is not advanced by the suspension, in which the worker's clock may have stopped
+// as well.
 func TestClockReadBeforeSuspensionIsNotAdvanced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTest(&fakeWorker{answerStart: accept})
@@ -52,9 +53,9 @@
 	})
 }
 
-// TestResumedAgentStartsNothingOnStaleState: neither after its lease has expired, nor with a stale hall state.
+// TestResumedAgentStartsNothingOnStaleState checks that nothing starts after the agent lease has expired, or with a stale hall state.
 func TestResumedAgentStartsNothingOnStaleState(t *testing.T) {
-	for _, d := range []time.Duration{hall.StaleAfter(testClosedWithin) + time.Millisecond, 5 * time.Second, 20 * time.Second} {
+	for _, d := range []time.Duration{hall.StaleAfter(testClosureDelay) + time.Millisecond, 5 * time.Second, 20 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				worker := &fakeWorker{answerStart: accept}
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestRunsOfResumedWorkerAreStopped failed with a run that continued for 3.5 s after agent and worker resumed, by the worker's clock, which had stopped
-// during the suspension.
+// TestRunsOfResumedWorkerAreStopped guards against a run that continues for 3.5 s after agent and worker resumed, by the worker's clock, which
+// stopped during the suspension.
 func TestRunsOfResumedWorkerAreStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{answerStart: accept}
--- a/internal/runner/uplink_test.go
+++ b/internal/runner/uplink_test.go
@@ -9,7 +9,7 @@
 	"github.com/saffronpulley/saffronpulley/internal/link"
 )
 
-// TestReportsUseRowsOnceTheLeaderReadsThem, while a leader of the previous release, which numbers no list of entries, gets full reports.
+// TestReportsUseRowsOnceTheLeaderReadsThem also checks that a leader of the previous release, which numbers no list of entries, gets full reports.
 func TestReportsUseRowsOnceTheLeaderReadsThem(t *testing.T) {
 	running := []link.Running{{Run: link.NewRun(job.TaskID{Job: "00000000000000aa"}, 1), Percent: 7}}
 	for list, rows := range map[uint64]int{0: 0, 3: 1} {
