--- a/internal/dispatch/latestart_test.go
+++ b/internal/dispatch/latestart_test.go
@@ -102,18 +102,16 @@
 	})
 }
 
-// unresponsiveSession is a session that acknowledges nothing.
-type unresponsiveSession struct{ fakeSession }
+// silentSession is a session that acknowledges nothing.
+type silentSession struct{ fakeSession }
 
-func (unresponsiveSession) send(link.Orders) error {
-	return fault.New(fault.OutcomeUnknown, "no answer")
-}
+func (silentSession) send(link.Orders) error { return fault.New(fault.OutcomeUnknown, "no answer") }
 
 // TestUnacknowledgedOrdersAreResentAfterNextReport guards against orders that are sent again only resendAfter later.
 func TestUnacknowledgedOrdersAreResentAfterNextReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, a := testTerm(t, kvtest.New()), &fakeAgent{vm: "vm"}
-		_, err := leader.report(unresponsiveSession{fakeSession{a}}, testReport("i1"))
+		_, err := leader.report(silentSession{fakeSession{a}}, testReport("i1"))
 		assert.NilError(t, err)
 		runCycle(t, leader)
 		assert.Equal(t, len(a.pendingOrders), 0)
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -169,12 +169,10 @@
 	return nil
 }
 
-// testPolicies is a configuration that has the service of the tests.
-type testPolicies struct{ noPolicies }
+// named is a configuration that has the service of the tests.
+type named struct{ noPolicies }
 
-func (testPolicies) Newest() *policy.Policy {
-	return policy.New(1, nil, map[string]int{testService: 3}, 0)
-}
+func (named) Newest() *policy.Policy { return policy.New(1, nil, map[string]int{testService: 3}, 0) }
 
 // TestReportOfUnconfiguredServiceIsMarkedUnknown checks that the answer to a report marks a service that is in no configuration, so that the agent
 // discards a first report from an unknown sender.
@@ -184,7 +182,7 @@
 		a := &fakeAgent{vm: "vm"}
 		for _, configured := range []bool{false, true} {
 			if configured {
-				leader.dispatcher.config.Policies = testPolicies{}
+				leader.dispatcher.config.Policies = named{}
 			}
 			for service, unknown := range map[string]bool{testService: false, "other": configured} {
 				r := testReport("i1")
--- a/internal/runner/fakes_test.go
+++ b/internal/runner/fakes_test.go
@@ -112,10 +112,10 @@
 }
 
 // setUnavailable makes the worker refuse connections, or accept them again.
-func (f *fakeWorker) setUnavailable(unavailable bool) {
+func (f *fakeWorker) setUnavailable(refuses bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unavailable = unavailable
+	f.unavailable = refuses
 }
 
 // restart replaces the current incarnation.
