--- a/internal/dispatch/planning.go
+++ b/internal/dispatch/planning.go
@@ -23,7 +23,7 @@
 )
 
 // expireWorkers marks workers unschedulable after maxReportAge without a report, and unreachable once the agent lease has
-// expired, at the latest leaderTimeout after the start of the term if the agent has not reported in it.
+// expired. Without any report in this term the lease counts as expired leaderTimeout after the start of the term.
 func (t *term) expireWorkers() {
 	now := time.Now()
 	t.expireUnreachable(now)
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -22,7 +22,7 @@
 	// rowReader decodes the reports of the session, fences are the fencing tokens granted to it.
 	rowReader *link.RowReader
 	fences    fenceRange
-	// firstFailure is when the calls to the worker last began to fail, zero if they never did.
+	// firstFailure is when the first call failed in the latest series of failed calls to the worker, zero if there was none.
 	firstFailure time.Time
 	// pendingOrders are the orders that are not sent yet.
 	pendingOrders *link.Orders
