--- a/internal/dispatch/crashsequence_test.go
+++ b/internal/dispatch/crashsequence_test.go
@@ -211,8 +211,8 @@
 
 // awaitStart runs the leader until it has started the task on a worker, and returns false if the job has ended.
 func (s *crashSequence) awaitStart(w *stormWorker) bool {
-	const patience = 15 * time.Second
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(stormReportInterval) {
+	const timeout = 15 * time.Second
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(stormReportInterval) {
 		assert.NilError(s.t, s.leader.closures.Load(s.t.Context()))
 		s.report(w)
 		id, _ := s.task.TaskID()
@@ -256,7 +256,7 @@
 func (s *crashSequence) crashAndReport(w *stormWorker, outcome crashOutcome) *stormWorker {
 	s.crash(w)
 	if s.pattern.withOtherCrashes {
-		s.reportOtherBrokenCalls()
+		s.reportOtherFailures()
 	}
 	// Tasks that ran beside the task start again after this time, so that they do not count for the same crash.
 	time.Sleep(stormDowntime)
@@ -289,8 +289,8 @@
 	return w
 }
 
-// reportOtherBrokenCalls reports to the leader that calls to two other workers have just begun to fail.
-func (s *crashSequence) reportOtherBrokenCalls() {
+// reportOtherFailures reports to the leader that calls to two other workers have just begun to fail.
+func (s *crashSequence) reportOtherFailures() {
 	for _, a := range s.otherAgents {
 		_, err := s.leader.report(fakeSession{a}, link.Report{VM: a.vm, Epoch: s.leader.epoch, FirstFailureMillis: 1})
 		assert.NilError(s.t, err)
--- a/internal/dispatch/latestart_test.go
+++ b/internal/dispatch/latestart_test.go
@@ -73,9 +73,9 @@
 		store, a := kvtest.New(), &fakeAgent{vm: "vm"}
 		leader := termWithPlacedTask(t, store, a)
 		cancelJob(t, store, leader)
-		gone := testReport("i1")
-		gone.Rejected = []link.Rejected{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Refusal: 2}}
-		_, err := leader.report(fakeSession{a}, gone)
+		rejected := testReport("i1")
+		rejected.Rejected = []link.Rejected{{Run: link.NewRun(job.TaskID{Job: testJob}, 1), Refusal: 2}}
+		_, err := leader.report(fakeSession{a}, rejected)
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		for range 3 {
--- a/internal/dispatch/restarts_test.go
+++ b/internal/dispatch/restarts_test.go
@@ -17,7 +17,7 @@
 type restartKind int
 
 const (
-	// clockBehind and clockAhead restart under the same id with another clock, birthEarlier with a start time before the previous one.
+	// clockBehind and clockAhead restart under the same id with another clock, startTimeEarlier with a start time before the previous one.
 	clockBehind restartKind = iota
 	clockAhead
 	startTimeEarlier
@@ -50,14 +50,14 @@
 		[...]string{"alone", "leader-goes", "agent-goes", "both-go"}[r.concurrent])
 }
 
-// replayCase is a kind of task, the delay of starts, and the restarts of workers.
-type replayCase struct {
+// restartCase is a kind of task, the delay of starts, and the restarts of workers.
+type restartCase struct {
 	longRunning bool
 	startDelay  time.Duration
 	restarts    []restart
 }
 
-func (c replayCase) String() string {
+func (c restartCase) String() string {
 	return fmt.Sprintf("long-running=%t start-delay=%v %v", c.longRunning, c.startDelay, c.restarts)
 }
 
@@ -98,7 +98,7 @@
 }
 
 // runRestartCases runs the cases of each kind of task in parallel and reports all that fail.
-func runRestartCases(t *testing.T, cases func(longRunning bool, startDelay time.Duration) []replayCase) {
+func runRestartCases(t *testing.T, cases func(longRunning bool, startDelay time.Duration) []restartCase) {
 	t.Helper()
 	for _, longRunning := range []bool{false, true} {
 		for _, startDelay := range []time.Duration{0, 250 * time.Millisecond, 2 * time.Second} {
@@ -121,12 +121,12 @@
 }
 
 // singleRestartCases returns the cases of one kind of task with one crash.
-func singleRestartCases(longRunning bool, startDelay time.Duration) []replayCase {
-	var cases []replayCase
+func singleRestartCases(longRunning bool, startDelay time.Duration) []restartCase {
+	var cases []restartCase
 	for _, at := range crashTimes() {
 		for kind := range restartKinds {
 			for concurrent := range concurrentFailures {
-				cases = append(cases, replayCase{longRunning, startDelay, []restart{{at, kind, concurrent}}})
+				cases = append(cases, restartCase{longRunning, startDelay, []restart{{at, kind, concurrent}}})
 			}
 		}
 	}
@@ -135,13 +135,13 @@
 
 // doubleRestartCases returns the cases of one kind of task with two crashes: the second while the worker is down, just after its restart, before
 // its first report and after that.
-func doubleRestartCases(longRunning bool, startDelay time.Duration) []replayCase {
-	var cases []replayCase
+func doubleRestartCases(longRunning bool, startDelay time.Duration) []restartCase {
+	var cases []restartCase
 	for _, c := range singleRestartCases(longRunning, startDelay) {
 		first := c.restarts[0]
 		for _, after := range []time.Duration{10 * time.Millisecond, 620 * time.Millisecond, 900 * time.Millisecond, 1300 * time.Millisecond} {
 			for kind := range restartKinds {
-				cases = append(cases, replayCase{longRunning, startDelay, []restart{first, {first.at + after, kind, workerOnly}}})
+				cases = append(cases, restartCase{longRunning, startDelay, []restart{first, {first.at + after, kind, workerOnly}}})
 			}
 		}
 	}
@@ -149,42 +149,42 @@
 }
 
 // runRestartCase runs one case on two VMs and returns the violations.
-func runRestartCase(t *testing.T, c replayCase) []string {
+func runRestartCase(t *testing.T, c restartCase) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	p := newSimulation(ctx, t, 2, c.longRunning)
+	s := newSimulation(ctx, t, 2, c.longRunning)
 	time.Sleep(2 * time.Second)
-	for _, w := range p.workers {
+	for _, w := range s.workers {
 		w.startDelay = c.startDelay
 	}
 	began := time.Now()
-	p.submitJob()
+	s.submitJob()
 	for n, r := range c.restarts {
 		time.Sleep(r.at - time.Since(began))
-		p.crashWorker(r, n)
+		s.crashWorker(r, n)
 	}
-	for _, w := range p.workers {
+	for _, w := range s.workers {
 		w.startDelay = 0
 	}
-	p.awaitOutcome(c)
+	s.awaitOutcome(c)
 	cancel()
-	p.depose()
+	s.depose()
 	synctest.Wait()
-	return p.violations
+	return s.violations
 }
 
 // crashWorker crashes the worker that runs the task, or the first one if none does, together with the concurrent failure.
-func (p *simulation) crashWorker(r restart, n int) {
+func (s *simulation) crashWorker(r restart, n int) {
 	vm := 0
-	for i, w := range p.workers {
+	for i, w := range s.workers {
 		if w.run != nil {
 			vm = i
 		}
 	}
-	w := p.workers[vm]
+	w := s.workers[vm]
 	if r.concurrent == agentFails || r.concurrent == bothFail {
-		p.killAgent[vm]()
-		defer p.startAgent(vm)
+		s.killAgent[vm]()
+		defer s.startAgent(vm)
 	}
 	step := int64(n + 1)
 	switch r.kind {
@@ -200,14 +200,14 @@
 		w.restart(incarnation.New(fmt.Sprintf("i-%d", vm), clockStart+step), time.Second)
 	}
 	if r.concurrent == leaderFails || r.concurrent == bothFail {
-		p.elect()
+		s.elect()
 	}
 }
 
 // awaitOutcome waits until the job is completed, or its long-running task runs after 6 s; it records a violation after recoveryLimit.
-func (p *simulation) awaitOutcome(c replayCase) {
+func (s *simulation) awaitOutcome(c restartCase) {
 	for began := time.Now(); time.Since(began) < recoveryLimit; time.Sleep(5 * time.Millisecond) {
-		state := p.state()
+		state := s.state()
 		if state == job.Failed && len(c.restarts) >= minKnownCrashes {
 			// A task whose workers crash shortly after its start may be given up after two crashes.
 			return
@@ -217,9 +217,9 @@
 			time.Sleep(3 * time.Second)
 			return
 		}
-		if c.longRunning && time.Since(began) > 6*time.Second && p.running() == 1 {
+		if c.longRunning && time.Since(began) > 6*time.Second && s.running() == 1 {
 			return
 		}
 	}
-	p.recordViolation("the task neither runs nor has ended; running=%d", p.running())
+	s.recordViolation("the task neither runs nor has ended; running=%d", s.running())
 }
