--- a/proving/cmd/bench/path.go
+++ b/proving/cmd/bench/path.go
@@ -21,13 +21,13 @@
 const (
 	pathConnections = 64
 	pathTime        = 5 * time.Second
-	pathPace        = 100 * time.Millisecond
+	pathInterval    = 100 * time.Millisecond
 	pathTable       = `workload,kind,team,processors,memory_mb,replicas,target_ms,concurrency,queue
 lookups,service,federacion,4,8000,1,1000,8,56
 `
 )
 
-// newStage returns a stage over the programs beside this one, without relays.
+// newStage returns a stage without relays that runs the programs in the directory of this one.
 func newStage() (*stage.Stage, string, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -38,11 +38,11 @@
 		return nil, "", err
 	}
 	s := stage.New(filepath.Dir(program), dir)
-	s.Direct()
+	s.DisableRelays()
 	return s, dir, nil
 }
 
-// applyTable makes a text the table through an entry.
+// applyTable replaces the table through an entry.
 func applyTable(s *stage.Stage, text string) error {
 	url := "http://" + s.Address("e1", "admin") + "/v1/table?base=0&author=bench&write_id=bench"
 	status, body, err := post(url, []byte(text))
@@ -63,7 +63,8 @@
 	return response.StatusCode(), append([]byte(nil), response.Body()...), err
 }
 
-// benchPath times the same request straight to the endpoint, through agent and entry, and to a bare echo, in one run.
+// benchPath measures the same request sent to the endpoint directly, through agent and entry, and to a bare echo server, in
+// one run.
 func benchPath() error {
 	s, dir, err := newStage()
 	if err != nil {
@@ -91,15 +92,15 @@
 	fmt.Println("| what | requests/s | p50 us | p99 us | cores of entry | cores of agent |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	through := "http://" + s.Address("e1", "callers") + "/v1/services/lookups"
-	for _, pace := range []time.Duration{0, pathPace} {
+	for _, interval := range []time.Duration{0, pathInterval} {
 		load := "as fast as it goes"
-		if pace > 0 {
-			load = fmt.Sprintf("one request each %s", pace)
+		if interval > 0 {
+			load = fmt.Sprintf("one request each %s", interval)
 		}
-		timePath(s, "bare fasthttp echo, "+load, "http://"+echo+"/", pace)
-		timePath(s, "straight to the endpoint, "+load, "http://"+endpoint+"/", pace)
-		timePath(s, "through the agent alone, "+load, "http://"+s.Address("a1", "requests")+control.PathRequest, pace)
-		timePath(s, "through entry and agent, "+load, through, pace)
+		timePath(s, "bare fasthttp echo, "+load, "http://"+echo+"/", interval)
+		timePath(s, "straight to the endpoint, "+load, "http://"+endpoint+"/", interval)
+		timePath(s, "through the agent alone, "+load, "http://"+s.Address("a1", "requests")+control.PathRequest, interval)
+		timePath(s, "through entry and agent, "+load, through, interval)
 	}
 	return nil
 }
@@ -111,7 +112,7 @@
 	}
 	var statuses []worker.StatusWire
 	if err := json.Unmarshal(body, &statuses); err != nil || len(statuses) != 1 {
-		return "", fmt.Errorf("the worker runs %d tasks: %w", len(statuses), err)
+		return "", fmt.Errorf("the worker runs %d tasks, not one: %w", len(statuses), err)
 	}
 	return statuses[0].Address, nil
 }
@@ -127,8 +128,8 @@
 	return listener.Addr().String(), nil
 }
 
-// timePath sends requests over a fixed number of connections, each as soon as the last was answered.
-func timePath(s *stage.Stage, name, url string, pace time.Duration) {
+// timePath sends requests over a fixed number of connections, each after the previous answer and at least an interval apart.
+func timePath(s *stage.Stage, name, url string, interval time.Duration) {
 	client := &fasthttp.Client{MaxConnsPerHost: pathConnections}
 	body := make([]byte, 64)
 	var mu sync.Mutex
@@ -139,13 +140,13 @@
 	var senders sync.WaitGroup
 	for i := range pathConnections {
 		senders.Go(func() {
-			// Paced senders take turns, else each round would be a burst.
-			<-time.After(pace * time.Duration(i) / pathConnections)
-			own, bad := sendUntil(client, url, body, end, pace)
+			// Paced senders start at staggered times; otherwise they would send in bursts.
+			<-time.After(interval * time.Duration(i) / pathConnections)
+			latencies, failures := sendUntil(client, url, body, end, interval)
 			mu.Lock()
 			defer mu.Unlock()
-			total.Merge(own)
-			failed += bad
+			total.Merge(latencies)
+			failed += failures
 		})
 	}
 	senders.Wait()
@@ -158,8 +159,8 @@
 	}
 }
 
-func sendUntil(client *fasthttp.Client, url string, body []byte, end time.Time, pace time.Duration) (*hdrhistogram.Histogram, int) {
-	own := hdrhistogram.New(1, 60_000_000, 3)
+func sendUntil(client *fasthttp.Client, url string, body []byte, end time.Time, interval time.Duration) (*hdrhistogram.Histogram, int) {
+	latencies := hdrhistogram.New(1, 60_000_000, 3)
 	failed := 0
 	digest := gate.Digest(body)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -180,10 +181,10 @@
 			failed++
 			continue
 		}
-		_ = own.RecordValue(max(time.Since(began).Microseconds(), 1))
-		if pace > 0 {
-			<-time.After(time.Until(began.Add(pace)))
+		_ = latencies.RecordValue(max(time.Since(began).Microseconds(), 1))
+		if interval > 0 {
+			<-time.After(time.Until(began.Add(interval)))
 		}
 	}
-	return own, failed
+	return latencies, failed
 }
--- a/proving/fleet/late_test.go
+++ b/proving/fleet/late_test.go
@@ -9,9 +9,10 @@
 	"github.com/saffronpulley/saffronpulley/internal/job"
 )
 
-// TestLateOrderReachesTheIncarnationThatIsUp: the next one under the same id carries out a start that was sent to the one before, and none does while
-// the worker is down. A worker that was down ran such starts, which no call could reach, crashed once more with them, and opened its address twice.
-func TestLateOrderReachesTheIncarnationThatIsUp(t *testing.T) {
+// TestLateOrderReachesRunningIncarnation checks that a late start is executed by the next incarnation under the same id, and
+// by none while the worker is down. A worker that was down executed such starts, which no call could reach, crashed again
+// with them, and opened its address twice.
+func TestLateOrderReachesRunningIncarnation(t *testing.T) {
 	for name, c := range map[string]struct {
 		down    time.Duration
 		started int
@@ -20,39 +21,39 @@
 		"back": {0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			books := NewBooks()
-			w := NewWorker("w", "north", "", room, books)
-			w.SetRebirth(SameIDClockBehind)
-			before := w.life
+			checker := NewChecker()
+			w := NewWorker("w", "north", "", workerCapacity, checker)
+			w.SetIdentities(SameIDClockBehind)
+			previous := w.incarnation
 			id := job.ID("00000000000000aa")
-			books.Sent(id, job.Spec{Text: "work=1s", Steps: []job.Step{demoStep(1, time.Second)}})
+			checker.RecordJob(id, job.Spec{Text: "work=1s", Steps: []job.Step{demoStep(1, time.Second)}})
 			w.Crash()
-			w.back = time.Now().Add(c.down)
-			start := order{Task: job.TaskID{Job: id}.String(), Run: 1, Text: "work=1s", Until: before.clock() + 3000, Fence: 1}
-			w.carryOutLate("/run-start", before, start)
-			assert.Equal(t, books.starts, c.started)
-			assert.Equal(t, len(w.life.running), c.started)
+			w.backAt = time.Now().Add(c.down)
+			start := order{Task: job.TaskID{Job: id}.String(), Run: 1, Spec: "work=1s", LeaseEnd: previous.clock() + 3000, Fence: 1}
+			w.executeLate("/run-start", previous, start)
+			assert.Equal(t, checker.startCount, c.started)
+			assert.Equal(t, len(w.incarnation.running), c.started)
 		})
 	}
 }
 
-// TestLateFirstCallsAreJudged by their median, once there are enough of them.
-func TestLateFirstCallsAreJudged(t *testing.T) {
+// TestLateFirstCallsAreReported checks the bound on the median, which applies once there are enough calls.
+func TestLateFirstCallsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		calls   int
-		after   time.Duration
-		refused bool
+		calls    int
+		after    time.Duration
+		reported bool
 	}{
-		"soon":         {leastContacts, contactAim, false},
-		"late":         {leastContacts, contactAim + 1, true},
-		"late but few": {leastContacts - 1, time.Minute, false},
+		"soon":         {minFirstCalls, maxMedianFirstCall, false},
+		"late":         {minFirstCalls, maxMedianFirstCall + 1, true},
+		"late but few": {minFirstCalls - 1, time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			books := NewBooks()
+			checker := NewChecker()
 			for range c.calls {
-				books.contacted(c.after)
+				checker.recordFirstCall(c.after)
 			}
-			assert.Equal(t, books.judgeContacts() != nil, c.refused)
+			assert.Equal(t, checker.checkFirstCalls() != nil, c.reported)
 		})
 	}
 }
--- a/proving/fleet/settings.go
+++ b/proving/fleet/settings.go
@@ -6,38 +6,38 @@
 	"path/filepath"
 )
 
-// Names that the configuration, the workers and the callers agree on.
+// Names shared by the configuration, the workers and the callers.
 const (
-	service   = "desk"
-	queueHost = "jobs.example"
-	prefix    = "/q/"
-	policyKey = "op/config"
-	closures  = "op/evacuate/"
+	service       = "desk"
+	queueHost     = "jobs.example"
+	pathPrefix    = "/q/"
+	configKey     = "op/config"
+	closurePrefix = "op/evacuate/"
 )
 
-// halls are those of a fleet; agents and entries stand in them by turns.
+// halls are the halls of a fleet, to which entries and agents are assigned in turn.
 var halls = []string{"h1", "h2"}
 
 func hallOf(i int) string { return halls[i%len(halls)] }
 
-// settings returns the settings of a process, by the names of deploy/node.yaml.
+// settings returns the settings file of a process, with the names of deploy/node.yaml.
 func settings(a addresses, name, role, ip, hall, worker string) string {
 	text := fmt.Sprintf("id: %s\nrole: %s\naddress: %s\nhall: %s\nstrength: 0.4\nmemory_mb: 256\nports:\n  peers: %d\n  metrics: %d\n",
 		name, role, ip, hall, a.peers, a.metric)
 	text += fmt.Sprintf("listen:\n  callers: %q\n  ready: %q\n  reports: %q\n  peers: %q\n",
-		at(ip, a.callers), at(ip, a.ready), at(ip, a.reports), at(ip, a.listen))
+		hostPort(ip, a.callers), hostPort(ip, a.ready), hostPort(ip, a.reports), hostPort(ip, a.listen))
 	return text + fmt.Sprintf("neighbors: %q\nworker: %q\nstore: %q\nadvice: \"\"\ngrace_s: 6\nlog: info\n", a.neighbors, worker, a.store)
 }
 
-// settingsPath returns where the settings of a process lie.
+// settingsPath returns the path of a process's settings file.
 func settingsPath(dir, name string) string { return filepath.Join(dir, name+".yaml") }
 
-// configure writes a version of the configuration as the operators do.
+// configure writes a version of the configuration as an operator.
 func (f *Fleet) configure(version int) error {
 	value, err := json.Marshal(map[string]any{
 		"version": version,
 		"routes": []map[string]any{{
-			"name": "queue", "host": queueHost, "path-prefix": prefix, "timeout-ms": 3000, "target-latency-ms": 1000,
+			"name": "queue", "host": queueHost, "path-prefix": pathPrefix, "timeout-ms": 3000, "target-latency-ms": 1000,
 			"priority": 0, "service": service, "attempts": 3, "stretch": 2.0,
 		}},
 		"services": []map[string]any{{"name": service, "admission-check": false}},
@@ -46,5 +46,5 @@
 	if err != nil {
 		return err
 	}
-	return f.store.Put(policyKey, value)
+	return f.store.Put(configKey, value)
 }
--- a/proving/fleet/store.go
+++ b/proving/fleet/store.go
@@ -13,7 +13,8 @@
 	"github.com/saffronpulley/saffronpulley/internal/kvtest"
 )
 
-// Store stands in for the platform's key-value store: kvtest.Store behind its protocol, with leases that run out.
+// Store is a stand-in for the platform's key-value store: it serves a kvtest.Store over the platform's protocol and expires
+// leases.
 type Store struct {
 	data *kvtest.Store
 
@@ -21,12 +22,13 @@
 	leases map[kv.LeaseID]*lease
 	down   bool
 	delay  time.Duration
-	// rate is how many calls of a second are answered, 0 for all; left are those of the second that began at window.
+	// rate is the number of calls answered per second, 0 for no limit; left remains of it in the second that starts at
+	// window.
 	rate, left int
 	window     time.Time
 }
 
-// lease is the length of a lease and the timer by which it runs out.
+// lease is a granted lease with the timer that expires it.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
@@ -37,28 +39,28 @@
 	return &Store{data: kvtest.New(), leases: make(map[kv.LeaseID]*lease)}
 }
 
-// SetDown makes the store refuse all calls, or serve them again; leases run out meanwhile.
+// SetDown makes the store refuse all calls, or answer them again; leases expire while it is down.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// SetDelay sets how long each answer takes.
+// SetDelay sets the delay of each answer.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
 }
 
-// SetRate makes the store refuse the calls of each second beyond a number, 0 for none.
+// SetRate makes the store refuse calls beyond a number per second, 0 for no limit.
 func (s *Store) SetRate(rate int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rate, s.left, s.window = rate, rate, time.Now()
 }
 
-// overRate counts a call against the rate, and reports whether it is over it; s is locked.
+// overRate counts a call and reports whether it exceeds the rate limit; s.mu is held.
 func (s *Store) overRate() bool {
 	if s.rate == 0 {
 		return false
@@ -70,28 +72,29 @@
 	return s.left < 0
 }
 
-// SetTrouble makes the store ask what happens to each commit; nil ends that and does what is late.
-func (s *Store) SetTrouble(trouble func() kvtest.Failure) {
-	s.data.SetFailure(trouble)
-	if trouble == nil {
+// SetFailure sets the function that selects the failure of each commit; nil ends the failures and applies the delayed
+// commits.
+func (s *Store) SetFailure(failure func() kvtest.Failure) {
+	s.data.SetFailure(failure)
+	if failure == nil {
 		s.data.ApplyLate()
 	}
 }
 
-// Forget drops the history, so that watches have to begin anew.
-func (s *Store) Forget() { s.data.DropHistory() }
+// DropHistory drops the history, so that watches have to restart.
+func (s *Store) DropHistory() { s.data.DropHistory() }
 
-// Put writes a key as the operators do.
+// Put writes a key as an operator.
 func (s *Store) Put(key string, value []byte) error {
 	return s.data.CommitAsOperator(kv.Txn{Puts: []kv.Put{{Key: key, Value: value}}})
 }
 
-// Remove removes a key as the operators do.
+// Remove removes a key as an operator.
 func (s *Store) Remove(key string) error {
 	return s.data.CommitAsOperator(kv.Txn{Removes: []string{key}})
 }
 
-// wireItem is an item as the platform writes it.
+// wireItem is an item in the platform's encoding.
 type wireItem struct {
 	Key      string `json:"tls-key"`
 	Value    []byte `json:"value"`
@@ -99,21 +102,21 @@
 	Gone     bool   `json:"gone,omitempty"`
 }
 
-// wireOf returns an item as the platform writes it.
-func wireOf(i kv.Item, gone bool) wireItem {
+// encodeItem returns an item in the platform's encoding.
+func encodeItem(i kv.Item, gone bool) wireItem {
 	return wireItem{Key: i.Key(), Value: i.Value(), Revision: uint64(i.Revision()), Gone: gone}
 }
 
 // Handle serves the store's protocol.
 func (s *Store) Handle(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
-	down, delay, over := s.down, s.delay, s.overRate()
+	down, delay, rateLimited := s.down, s.delay, s.overRate()
 	s.mu.Unlock()
 	switch {
 	case down:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
-	case over:
+	case rateLimited:
 		ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 		return
 	}
@@ -125,7 +128,7 @@
 	case path == "/kv-key":
 		s.get(ctx)
 	case path == "/kv-range":
-		s.page(ctx)
+		s.list(ctx)
 	case path == "/kv-watch":
 		s.watch(ctx)
 	case path == "/kv-txn":
@@ -133,37 +136,37 @@
 	case path == "/kv-lease":
 		s.grant(ctx)
 	case strings.HasPrefix(path, "/kv-keep/"):
-		s.keep(ctx, path)
+		s.keepAlive(ctx, path)
 	case strings.HasPrefix(path, "/kv-lease-end/"):
-		s.end(ctx, path)
+		s.endLease(ctx, path)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-// query returns a parameter of a call.
+// query returns a query parameter of a call.
 func query(ctx *fasthttp.RequestCtx, name string) string { return string(ctx.QueryArgs().Peek(name)) }
 
 func (s *Store) get(ctx *fasthttp.RequestCtx) {
 	item, err := s.data.Get(ctx, query(ctx, "tls-key"))
 	switch {
 	case err != nil:
-		refuse(ctx, err)
+		writeError(ctx, err)
 	case item.Revision() == 0:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	default:
-		write(ctx, wireOf(item, false))
+		writeJSON(ctx, encodeItem(item, false))
 	}
 }
 
-// mostItems bounds the items of one answer.
-const mostItems = 500
+// maxItems limits the items of one answer.
+const maxItems = 500
 
-// page answers with the items under a prefix, from a key on.
-func (s *Store) page(ctx *fasthttp.RequestCtx) {
+// list answers with a page of the items under a prefix that follow a key.
+func (s *Store) list(ctx *fasthttp.RequestCtx) {
 	items, at, err := s.data.Range(ctx, query(ctx, "path-prefix"))
 	if err != nil {
-		refuse(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	after := query(ctx, "depends-on")
@@ -171,13 +174,13 @@
 	for _, i := range items {
 		switch {
 		case after != "" && i.Key() <= after:
-		case len(page) == mostItems:
+		case len(page) == maxItems:
 			more = true
 		default:
-			page = append(page, wireOf(i, false))
+			page = append(page, encodeItem(i, false))
 		}
 	}
-	write(ctx, map[string]any{"items": page, "more": more, "at": uint64(at)})
+	writeJSON(ctx, map[string]any{"items": page, "more": more, "at": uint64(at)})
 }
 
 func (s *Store) watch(ctx *fasthttp.RequestCtx) {
@@ -185,14 +188,14 @@
 	wait, _ := strconv.ParseInt(query(ctx, "wait-ms"), 10, 64)
 	events, at, err := s.data.Watch(context.Background(), query(ctx, "path-prefix"), kv.Revision(after), time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		refuse(ctx, err)
+		writeError(ctx, err)
 		return
 	}
-	found := make([]wireItem, 0, len(events))
+	encoded := make([]wireItem, 0, len(events))
 	for _, e := range events {
-		found = append(found, wireOf(e.Item(), e.Removed()))
+		encoded = append(encoded, encodeItem(e.Item(), e.Removed()))
 	}
-	write(ctx, map[string]any{"events": found, "at": uint64(at)})
+	writeJSON(ctx, map[string]any{"events": encoded, "at": uint64(at)})
 }
 
 func (s *Store) commit(ctx *fasthttp.RequestCtx) {
@@ -208,7 +211,7 @@
 		} `json:"put"`
 		Removes []string `json:"remove"`
 	}
-	if !read(ctx, &body) {
+	if !readJSON(ctx, &body) {
 		return
 	}
 	change := kv.Txn{Removes: body.Removes}
@@ -220,17 +223,17 @@
 	}
 	revision, err := s.data.Commit(ctx, change)
 	if err != nil {
-		refuse(ctx, err)
+		writeError(ctx, err)
 		return
 	}
-	write(ctx, map[string]any{"revision": uint64(revision)})
+	writeJSON(ctx, map[string]any{"revision": uint64(revision)})
 }
 
 func (s *Store) grant(ctx *fasthttp.RequestCtx) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
-	if !read(ctx, &body) {
+	if !readJSON(ctx, &body) {
 		return
 	}
 	ttl := time.Duration(body.TTL) * time.Millisecond
@@ -238,7 +241,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expire(id) })}
-	write(ctx, map[string]any{"lease": uint64(id), "ttl_ms": body.TTL})
+	writeJSON(ctx, map[string]any{"lease": uint64(id), "ttl_ms": body.TTL})
 }
 
 func (s *Store) expire(id kv.LeaseID) {
@@ -248,13 +251,13 @@
 	s.data.Expire(id)
 }
 
-// leaseOf returns the lease that ends a path, 0 where none does.
+// leaseOf returns the lease id at the end of a path, 0 if there is none.
 func leaseOf(path string) kv.LeaseID {
 	id, _ := strconv.ParseUint(path[strings.LastIndexByte(path, '/')+1:], 10, 64)
 	return kv.LeaseID(id)
 }
 
-func (s *Store) keep(ctx *fasthttp.RequestCtx, path string) {
+func (s *Store) keepAlive(ctx *fasthttp.RequestCtx, path string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[leaseOf(path)]
@@ -262,10 +265,10 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	write(ctx, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
+	writeJSON(ctx, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) end(ctx *fasthttp.RequestCtx, path string) {
+func (s *Store) endLease(ctx *fasthttp.RequestCtx, path string) {
 	s.expire(leaseOf(path))
-	write(ctx, struct{}{})
+	writeJSON(ctx, struct{}{})
 }
--- a/proving/lateness/event.go
+++ b/proving/lateness/event.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// event is a line of a log that tells of a job.
+// event is a log line about a job.
 type event struct {
-	at     time.Duration
-	what   string
-	fields map[string]string
+	at      time.Duration
+	message string
+	fields  map[string]string
 }
 
-// line reads the simulated seconds, or those since some start, the process and the sentence; the sentence may stand in a JSON
-// line.
+// linePattern matches the time in seconds (simulated, or since some start), the process and the rest of a line.
+// messagePattern matches a message in the rest, which may be JSON.
 var (
-	line     = regexp.MustCompile(`^\s*(-?[0-9.]+) \S+ (.*)$`)
-	sentence = regexp.MustCompile(`(?:dispatch|intake): ([a-z ]+); ([^"]*)`)
+	linePattern    = regexp.MustCompile(`^\s*(-?[0-9.]+) \S+ (.*)$`)
+	messagePattern = regexp.MustCompile(`(?:dispatch|intake): ([a-z ]+); ([^"]*)`)
 )
 
-// parse reads a line of a log, false where it tells nothing of a job.
+// parse parses a log line and reports whether it is about a job.
 func parse(text string) (event, bool) {
-	timed := line.FindStringSubmatch(text)
-	if timed == nil {
+	lineMatch := linePattern.FindStringSubmatch(text)
+	if lineMatch == nil {
 		return event{}, false
 	}
-	seconds, err := strconv.ParseFloat(timed[1], 64)
+	seconds, err := strconv.ParseFloat(lineMatch[1], 64)
 	if err != nil {
 		return event{}, false
 	}
-	told := sentence.FindStringSubmatch(timed[2])
-	if told == nil {
+	messageMatch := messagePattern.FindStringSubmatch(lineMatch[2])
+	if messageMatch == nil {
 		return event{}, false
 	}
-	e := event{at: time.Duration(seconds * float64(time.Second)), what: told[1], fields: make(map[string]string)}
-	for _, word := range strings.Fields(told[2]) {
+	e := event{at: time.Duration(seconds * float64(time.Second)), message: messageMatch[1], fields: make(map[string]string)}
+	for _, word := range strings.Fields(messageMatch[2]) {
 		if name, value, ok := strings.Cut(word, "="); ok {
 			e.fields[name] = value
 		}
@@ -44,7 +44,7 @@
 	return e, true
 }
 
-// millis returns a field that is a number of milliseconds, 0 where it is none.
+// millis returns a field in milliseconds, 0 if it is missing or not a number.
 func (e event) millis(name string) time.Duration {
 	n, err := strconv.ParseInt(e.fields[name], 10, 64)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// step returns the job, its time and its step of the task that the event names.
+// step returns the job, iteration and step of the event's task.
 func (e event) step() string {
 	parts := strings.Split(e.fields["task"], ".")
 	return strings.Join(parts[:max(len(parts)-1, 0)], ".")
--- a/proving/platform/endpoint.go
+++ b/proving/platform/endpoint.go
@@ -13,7 +13,7 @@
 
 type netConn = net.Conn
 
-// endpoints are the service endpoints of a worker, with the count of what each request body was run.
+// endpoints are the service endpoints of a worker; executed counts the requests by body.
 type endpoints struct {
 	service atomic.Int64
 	fault   atomic.Value
@@ -55,7 +55,7 @@
 	listener net.Listener
 }
 
-const maxCounted = 64
+const maxCountedBody = 64
 
 func (e *endpoints) open(host string, service time.Duration, pressure func() float64) (*endpoint, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -73,10 +73,10 @@
 
 func (e *endpoint) close() { _ = e.listener.Close() }
 
-// serve runs a request: it takes the service time, longer under pressure, and echoes the body.
+// serve executes a request: it takes the service time, longer under load by batch tasks, and echoes the body.
 func (e *endpoints) serve(ctx *fasthttp.RequestCtx, pressure func() float64) {
 	body := append([]byte(nil), ctx.Request.Body()...)
-	if len(body) <= maxCounted {
+	if len(body) <= maxCountedBody {
 		e.count(string(body))
 	}
 	if d := time.Duration(e.service.Load()); d > 0 {
@@ -84,11 +84,11 @@
 	}
 	ctx.Response.Header.SetBytesV(control.HeaderExchange, ctx.Request.Header.Peek(control.HeaderExchange))
 	ctx.SetBody(body)
-	e.spoil(ctx)
+	e.applyFault(ctx)
 }
 
-// spoil makes the answer wrong in the way that was asked for.
-func (e *endpoints) spoil(ctx *fasthttp.RequestCtx) {
+// applyFault replaces the answer by a wrong one while a fault is set.
+func (e *endpoints) applyFault(ctx *fasthttp.RequestCtx) {
 	switch e.fault.Load() {
 	case "other":
 		ctx.Response.Header.Set(control.HeaderExchange, "another")
--- a/proving/stage/api.go
+++ b/proving/stage/api.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// apiVerb runs the examples of a page against an entry: PAGE ENTRY. Each block marked http is a request, and the block
-// marked answer after it the status and lines that the answer must contain; $JOB is the latest job's identifier.
+// apiVerb runs the examples of a page against an entry: PAGE ENTRY. A block marked http is a request; the block marked
+// answer after it holds the status and lines that the answer must contain. $JOB is the id of the latest job.
 func (s *Stage) apiVerb(args []string) (string, error) {
 	page, err := os.ReadFile(args[0])
 	if err != nil {
@@ -25,11 +25,11 @@
 	for _, block := range blocks(string(page)) {
 		switch block.kind {
 		case "http":
-			status, answer, err = s.playExample(address, strings.ReplaceAll(block.text, "$JOB", job))
+			status, answer, err = s.runExample(address, strings.ReplaceAll(block.text, "$JOB", job))
 			if err != nil {
 				return "", err
 			}
-			job = jobOf(answer, job)
+			job = jobIDOf(answer, job)
 		case "answer":
 			examples++
 			if err := checkExample(block.text, status, answer); err != nil {
@@ -45,7 +45,7 @@
 
 type block struct{ kind, text string }
 
-// blocks returns the fenced blocks of a page that are marked.
+// blocks returns the fenced blocks of a page with their marks.
 func blocks(page string) []block {
 	var found []block
 	for i, part := range strings.Split(page, "```") {
@@ -57,7 +57,7 @@
 	return found
 }
 
-func (s *Stage) playExample(address, text string) (int, []byte, error) {
+func (s *Stage) runExample(address, text string) (int, []byte, error) {
 	head, body, _ := strings.Cut(text, "\n\n")
 	lines := strings.Split(strings.TrimSpace(head), "\n")
 	method, path, _ := strings.Cut(lines[0], " ")
@@ -70,12 +70,12 @@
 	return status, answer, err
 }
 
-func jobOf(answer []byte, otherwise string) string {
+func jobIDOf(answer []byte, fallback string) string {
 	var job struct {
 		ID string `json:"id"`
 	}
 	if json.Unmarshal(answer, &job) != nil || job.ID == "" {
-		return otherwise
+		return fallback
 	}
 	return job.ID
 }
--- a/proving/stage/stage.go
+++ b/proving/stage/stage.go
@@ -17,52 +17,52 @@
 	"github.com/saffronpulley/saffronpulley/proving/relay"
 )
 
-// Stage is the processes of one scenario.
+// Stage holds the processes of one scenario.
 type Stage struct {
 	binaries string
 	dir      string
 	client   *http.Client
 
-	mu        sync.Mutex
-	processes map[string]*Process
-	relays    map[string]*relay.Relay
-	sources   map[string]string
-	jobs      map[string]string
-	loads     map[string]*load
-	buried    []deadWorker
-	extra     map[string]string
-	direct    bool
+	mu            sync.Mutex
+	processes     map[string]*Process
+	relays        map[string]*relay.Relay
+	sources       map[string]string
+	jobs          map[string]string
+	loads         map[string]*load
+	endedWorkers  []endedWorker
+	extraSettings map[string]string
+	noRelays      bool
 }
 
-// Secret is what the processes of a stage share.
+// Secret is the shared secret of the processes of a stage.
 const Secret = "a-secret-of-the-stage"
 
-// New returns an empty stage that runs the binaries of a directory and writes settings to another.
+// New returns an empty stage that runs the programs in binaries and writes settings to dir.
 func New(binaries, dir string) *Stage {
 	return &Stage{
 		binaries: binaries, dir: dir,
 		client:    &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		processes: make(map[string]*Process), relays: make(map[string]*relay.Relay), sources: make(map[string]string),
-		jobs: make(map[string]string), loads: make(map[string]*load), extra: make(map[string]string),
+		jobs: make(map[string]string), loads: make(map[string]*load), extraSettings: make(map[string]string),
 	}
 }
 
-// Direct leaves the relays out, so that nothing stands between the processes that are measured.
-func (s *Stage) Direct() { s.direct = true }
+// DisableRelays connects the processes directly, for measurements.
+func (s *Stage) DisableRelays() { s.noRelays = true }
 
-// Do plays a verb of the scenarios.
+// Do runs a verb of the scenarios.
 func (s *Stage) Do(name string, args ...string) (string, error) {
 	run, ok := verbs[name]
 	if !ok {
-		return "", fmt.Errorf("there is no verb %s", name)
+		return "", fmt.Errorf("unknown verb %s", name)
 	}
 	return run(s, args)
 }
 
-// Address returns where a process listens.
+// Address returns the address of a process's listener.
 func (s *Stage) Address(name, listener string) string { return s.processes[name].addresses[listener] }
 
-// Processes returns the names of the processes that run with their identifiers.
+// Processes returns the process ids of the running processes by their names.
 func (s *Stage) Processes() map[string]int {
 	running := make(map[string]int)
 	for name, p := range s.processes {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Logs returns what the processes wrote.
+// Logs returns the output of all processes.
 func (s *Stage) Logs() string {
 	names := make([]string, 0, len(s.processes))
 	for name := range s.processes {
@@ -106,13 +106,13 @@
 func (s *Stage) process(name string) (*Process, error) {
 	p, ok := s.processes[name]
 	if !ok {
-		return nil, fmt.Errorf("there is no process %s", name)
+		return nil, fmt.Errorf("unknown process %s", name)
 	}
 	return p, nil
 }
 
-// address is where a process is reached by the stage. Callers and operators reach a daemon over a relay, whose
-// address stays the same over its starts.
+// address returns the address at which the stage reaches a process. Callers and operators reach a daemon through a relay,
+// whose address stays the same when the daemon restarts.
 func (s *Stage) address(name, listener string) (string, error) {
 	p, err := s.process(name)
 	if err != nil {
@@ -124,11 +124,12 @@
 	return p.addresses[listener], nil
 }
 
-// relay returns the address before a listener of a process, behind which connections can be cut.
+// relay returns the address of the relay to a process's listener, which can cut connections, and sets its target if one is
+// given.
 func (s *Stage) relay(name, listener, target string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.direct {
+	if s.noRelays {
 		return s.processes[name].addresses[listener], nil
 	}
 	key := name + "/" + listener
@@ -146,7 +147,7 @@
 	return r.Address(), nil
 }
 
-// startStandin starts a stand-in and the relay before it.
+// startStandin starts a stand-in and the relay to it.
 func (s *Stage) startStandin(name string, args ...string) error {
 	p := &Process{name: name, args: append([]string{"standin", "--listen", "127.0.0.1:0"}, args...), log: &logFile{}}
 	s.processes[name] = p
@@ -157,8 +158,8 @@
 	return err
 }
 
-// defineDaemon writes the settings of a daemon; they hold for each of its starts.
-func (s *Stage) defineDaemon(name string, own map[string]string) error {
+// defineDaemon writes the settings of a daemon, which apply to each of its starts.
+func (s *Stage) defineDaemon(name string, settings map[string]string) error {
 	s.mu.Lock()
 	source := "127.0.1." + strconv.Itoa(len(s.sources)+1)
 	s.sources[name] = source
@@ -176,19 +177,19 @@
 			return err
 		}
 	}
-	for _, overrides := range []map[string]string{own, s.extra} {
+	for _, overrides := range []map[string]string{settings, s.extraSettings} {
 		for key, value := range overrides {
 			values[key] = value
 		}
 	}
 	listeners := []string{"requests", "control"}
-	if own["role"] == "entry" {
+	if settings["role"] == "entry" {
 		listeners = []string{"peers"}
 		values["listen.callers"] = "127.0.0.1:0"
 	}
 	for _, listener := range listeners {
 		values["listen."+listener] = "127.0.0.1:0"
-		if s.direct {
+		if s.noRelays {
 			continue
 		}
 		if values["advertise."+listener], err = s.relay(name, listener, "127.0.0.1:1"); err != nil {
@@ -202,7 +203,7 @@
 	return os.WriteFile(file, yaml(values), 0o600)
 }
 
-// yaml writes settings as YAML.
+// yaml returns settings as YAML.
 func yaml(values map[string]string) []byte {
 	keys := make([]string, 0, len(values))
 	for key := range values {
@@ -225,7 +226,7 @@
 	return out.Bytes()
 }
 
-// start starts a daemon, or a stand-in again, and points its relays to where it listens.
+// start starts a daemon, or restarts a stand-in, and points its relays to the new addresses.
 func (s *Stage) start(name string) error {
 	p, err := s.process(name)
 	if err != nil {
@@ -242,11 +243,11 @@
 	return nil
 }
 
-// setCut cuts or heals what a process sends to another.
+// setCut cuts or restores the traffic from one process to another.
 func (s *Stage) setCut(from, to string, cut bool) error {
 	source, ok := s.sources[from]
 	if !ok {
-		return fmt.Errorf("there is no daemon %s", from)
+		return fmt.Errorf("unknown daemon %s", from)
 	}
 	found := false
 	s.mu.Lock()
@@ -258,12 +259,12 @@
 		}
 	}
 	if !found {
-		return fmt.Errorf("nothing stands before %s", to)
+		return fmt.Errorf("no relay to %s", to)
 	}
 	return nil
 }
 
-// post sends a body to a path and returns the status, the body and the headers of the answer.
+// post sends a request and returns the status, the body and the headers of the answer.
 func (s *Stage) post(method, url string, body []byte, headers map[string]string) (int, []byte, http.Header, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -281,16 +282,16 @@
 	return response.StatusCode, content, response.Header, err
 }
 
-// eventually tries until there is no error or the time is over.
-func eventually(limit time.Duration, try func() error) error {
+// eventually repeats an attempt until it succeeds or the limit has passed.
+func eventually(limit time.Duration, attempt func() error) error {
 	end := time.Now().Add(limit)
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %s: %w", limit, err)
+			return fmt.Errorf("timed out after %s: %w", limit, err)
 		}
 		<-time.After(50 * time.Millisecond)
 	}
--- a/proving/stage/verbs.go
+++ b/proving/stage/verbs.go
@@ -74,12 +74,13 @@
 	return nil
 }
 
-// command makes a command of a verb: its text goes to the log, and its error, with the processes' logs, ends the script.
+// command makes a testscript command of a verb. It logs the verb's text and fails the script on an error; the file named by
+// STAGE_LOGS then gets the processes' output.
 func command(run func(*Stage, []string) (string, error)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		s, ok := ts.Value(stageKey).(*Stage)
 		if !ok {
-			ts.Fatalf("there is no stage")
+			ts.Fatalf("the script has no stage")
 		}
 		text, err := run(s, args)
 		if text != "" {
@@ -88,12 +89,12 @@
 		ts.Setenv("SAFFRONPULLEY_ENTRIES", s.adminAddresses())
 		switch {
 		case err != nil && !neg:
-			if keep := os.Getenv("STAGE_LOGS"); keep != "" {
-				_ = os.WriteFile(keep, []byte(s.Logs()), 0o600)
+			if path := os.Getenv("STAGE_LOGS"); path != "" {
+				_ = os.WriteFile(path, []byte(s.Logs()), 0o600)
 			}
 			ts.Fatalf("%v", err)
 		case err == nil && neg:
-			ts.Fatalf("it went well, which it should not")
+			ts.Fatalf("the verb succeeded, but was expected to fail")
 		}
 	}
 }
@@ -109,7 +110,7 @@
 	}
 }
 
-// options splits words into those of the form key=value and the rest.
+// options splits arguments into options of the form key=value and the rest.
 func options(args []string) (map[string]string, []string) {
 	values := make(map[string]string)
 	var rest []string
@@ -123,35 +124,35 @@
 	return values, rest
 }
 
-func number(values map[string]string, key string, otherwise int) int {
+func intOption(values map[string]string, key string, fallback int) int {
 	if n, err := strconv.Atoi(values[key]); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-// cluster starts a store, a list, workers, agents and entries, and waits until they are ready.
+// cluster starts a store, a VM list, workers, agents and entries, and waits until they are ready.
 //
-// It takes entries=N, workers=N, racks=N (workers to a rack), hall=NAME, processors=N, and set.KEY=VALUE for settings.
+// It takes entries=N, workers=N, racks=N (workers per rack), hall=NAME, processors=N, and set.KEY=VALUE for settings.
 func (s *Stage) cluster(args []string) (string, error) {
 	values, _ := options(args)
 	for key, value := range values {
 		if setting, ok := strings.CutPrefix(key, "set."); ok {
-			s.extra[setting] = value
+			s.extraSettings[setting] = value
 		}
 	}
 	if err := errors.Join(s.startStandin("store", "store"), s.startStandin("vms", "vms")); err != nil {
 		return "", err
 	}
-	workers, entries := number(values, "workers", 3), number(values, "entries", 2)
+	workers, entries := intOption(values, "workers", 3), intOption(values, "entries", 2)
 	for i := 1; i <= workers; i++ {
-		if err := s.addWorker(strconv.Itoa(i), 1+(i-1)/number(values, "racks", 3), values); err != nil {
+		if err := s.addWorker(strconv.Itoa(i), 1+(i-1)/intOption(values, "racks", 3), values); err != nil {
 			return "", err
 		}
 	}
 	for i := 1; i <= entries; i++ {
 		name := "e" + strconv.Itoa(i)
-		if err := s.defineDaemon(name, map[string]string{"role": "entry", "hall": hall(values)}); err != nil {
+		if err := s.defineDaemon(name, map[string]string{"role": "entry", "hall": hallOption(values)}); err != nil {
 			return "", err
 		}
 		if err := s.start(name); err != nil {
@@ -161,14 +162,14 @@
 	return fmt.Sprintf("%d processes run", len(s.processes)), s.awaitReady(workers)
 }
 
-func hall(values map[string]string) string {
+func hallOption(values map[string]string) string {
 	if h, ok := values["hall"]; ok {
 		return h
 	}
 	return "cordoba"
 }
 
-// addWorker starts a worker with its agent and puts it on the list.
+// addWorker starts a worker with its agent and adds it to the VM list.
 func (s *Stage) addWorker(number string, rack int, values map[string]string) error {
 	args := []string{"worker", "--instance", "vm-" + number}
 	for _, flag := range []string{"processors", "memory", "accelerators", "runtime", "service"} {
@@ -179,12 +180,12 @@
 	if err := s.startStandin("w"+number, args...); err != nil {
 		return err
 	}
-	if _, err := s.setLine("vm-"+number, hall(values), rack, "live"); err != nil {
+	if _, err := s.setVM("vm-"+number, hallOption(values), rack, "live"); err != nil {
 		return err
 	}
 	address, _ := s.relay("w"+number, "listening", "")
 	err := s.defineDaemon("a"+number, map[string]string{
-		"role": "agent", "hall": hall(values), "rack": strconv.Itoa(rack), "worker.address": address,
+		"role": "agent", "hall": hallOption(values), "rack": strconv.Itoa(rack), "worker.address": address,
 	})
 	if err != nil {
 		return err
@@ -192,7 +193,7 @@
 	return s.start("a" + number)
 }
 
-func (s *Stage) setLine(instance, hall string, rack int, state string) (string, error) {
+func (s *Stage) setVM(instance, hall string, rack int, state string) (string, error) {
 	address, err := s.address("vms", "listening")
 	if err != nil {
 		return "", err
@@ -205,17 +206,17 @@
 	return "", err
 }
 
-// listVerb sets a line of the list: INSTANCE STATE [hall=NAME] [rack=N].
+// listVerb sets a line of the VM list: INSTANCE STATE [hall=NAME] [rack=N].
 func (s *Stage) listVerb(args []string) (string, error) {
 	values, rest := options(args)
-	return s.setLine(rest[0], hall(values), number(values, "rack", 1), rest[1])
+	return s.setVM(rest[0], hallOption(values), intOption(values, "rack", 1), rest[1])
 }
 
 func (s *Stage) startVerb(args []string) (string, error) {
-	return "", eachOf(args, s.start)
+	return "", forEach(args, s.start)
 }
 
-func eachOf(names []string, do func(string) error) error {
+func forEach(names []string, do func(string) error) error {
 	for _, name := range names {
 		if err := do(name); err != nil {
 			return err
@@ -224,15 +225,15 @@
 	return nil
 }
 
-// crashVerb ends processes at once; a worker's books are kept.
+// crashVerb kills processes; a worker's history is saved first.
 func (s *Stage) crashVerb(args []string) (string, error) {
-	return "", eachOf(args, func(name string) error {
+	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
 		if err != nil {
 			return err
 		}
 		if strings.HasPrefix(name, "w") {
-			if err := s.bury(name); err != nil {
+			if err := s.saveHistory(name); err != nil {
 				return err
 			}
 		}
@@ -244,9 +245,9 @@
 	})
 }
 
-// termVerb stops processes in good order and waits for their end.
+// termVerb terminates processes gracefully and waits for their end.
 func (s *Stage) termVerb(args []string) (string, error) {
-	return "", eachOf(args, func(name string) error {
+	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
 		if err != nil {
 			return err
@@ -257,7 +258,7 @@
 		select {
 		case <-p.ended:
 		case <-time.After(30 * time.Second):
-			return fmt.Errorf("%s does not end", name)
+			return fmt.Errorf("%s did not end", name)
 		}
 		if p.exit != 0 {
 			return fmt.Errorf("%s ended with code %d: %s", name, p.exit, p.log)
@@ -271,7 +272,7 @@
 func (s *Stage) thawVerb(args []string) (string, error) { return s.signalAll(args, syscall.SIGCONT) }
 
 func (s *Stage) signalAll(args []string, signal syscall.Signal) (string, error) {
-	return "", eachOf(args, func(name string) error {
+	return "", forEach(args, func(name string) error {
 		p, err := s.process(name)
 		if err != nil {
 			return err
@@ -280,7 +281,7 @@
 	})
 }
 
-// faultVerb tells a stand-in to fail: NAME FAULT, as its control path takes it.
+// faultVerb injects a fault into a stand-in: NAME FAULT, with FAULT as its control path takes it.
 func (s *Stage) faultVerb(args []string) (string, error) {
 	address, err := s.address(args[0], "listening")
 	if err != nil {
@@ -293,7 +294,7 @@
 	return "", err
 }
 
-// pauseVerb waits for a time; it is for letting a lease lapse, not for waiting for a state.
+// pauseVerb waits for a fixed time, such as the expiry of a lease. Waiting for a state is done with await.
 func (s *Stage) pauseVerb(args []string) (string, error) {
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
--- a/proving/stage/work.go
+++ b/proving/stage/work.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-const awaitLimit = 30 * time.Second
+const awaitTimeout = 30 * time.Second
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// errorBody is the part of an error answer that scenarios judge by.
+// errorBody is the part of an error answer that scenarios check.
 type errorBody struct {
 	Error struct {
 		Kind string `json:"kind"`
@@ -24,7 +24,7 @@
 	} `json:"error"`
 }
 
-func kindOf(answer []byte) string {
+func errorKind(answer []byte) string {
 	var e errorBody
 	if json.Unmarshal(answer, &e) != nil || e.Error.Kind == "" {
 		return "unreadable answer"
@@ -46,15 +46,15 @@
 		}
 	}
 	began := time.Now()
-	status, answer, answered, err := s.post("POST", "http://"+address+"/v1/services/"+rest[1], []byte(values["body"]), headers)
+	status, answer, responseHeaders, err := s.post("POST", "http://"+address+"/v1/services/"+rest[1], []byte(values["body"]), headers)
 	took := time.Since(began)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d %s", status, answer), judge(values, status, answer, answered, took)
+	return fmt.Sprintf("%d %s", status, answer), checkAnswer(values, status, answer, responseHeaders, took)
 }
 
-// raceVerb sends a request with one key through several entries at once, all of which must get its answer:
+// raceVerb sends requests with the same key through several entries concurrently, all of which must get its answer:
 // SERVICE KEY BODY ENTRY...
 func (s *Stage) raceVerb(args []string) (string, error) {
 	results := make(chan error, len(args))
@@ -71,41 +71,41 @@
 	return "", errors.Join(all...)
 }
 
-// idleVerb checks that a worker runs no request for a time: NAME D.
+// idleVerb checks that a worker executes no request for a time: NAME D.
 func (s *Stage) idleVerb(args []string) (string, error) {
-	before, err := s.requestsOf(args[0])
+	before, err := s.requestCount(args[0])
 	if err != nil {
 		return "", err
 	}
 	if _, err := s.pauseVerb(args[1:]); err != nil {
 		return "", err
 	}
-	after, err := s.requestsOf(args[0])
+	after, err := s.requestCount(args[0])
 	if err == nil && after != before {
-		err = fmt.Errorf("%s ran %d requests", args[0], after-before)
+		err = fmt.Errorf("%s executed %d requests", args[0], after-before)
 	}
-	return fmt.Sprintf("%s ran %d requests before", args[0], before), err
+	return fmt.Sprintf("%s executed %d requests before", args[0], before), err
 }
 
-// requestsOf is how many requests a worker has run.
-func (s *Stage) requestsOf(name string) (int, error) {
-	books, err := s.books(name)
+// requestCount returns how many requests a worker has executed.
+func (s *Stage) requestCount(name string) (int, error) {
+	history, err := s.history(name)
 	total := 0
-	for _, n := range books.Executed {
+	for _, n := range history.Executed {
 		total += n
 	}
 	return total, err
 }
 
-// judge checks an answer against what was wanted; each refusal that asks to return must say when.
-func judge(values map[string]string, status int, answer []byte, headers http.Header, took time.Duration) error {
+// checkAnswer checks an answer against the wanted status or error kinds; a 429 answer must have a Retry-After header.
+func checkAnswer(values map[string]string, status int, answer []byte, headers http.Header, took time.Duration) error {
 	want := values["want"]
 	if want == "" {
 		want = "200"
 	}
 	got := "200"
 	if status != http.StatusOK {
-		got = kindOf(answer)
+		got = errorKind(answer)
 	}
 	if !slices.Contains(strings.Split(want, ","), got) {
 		return fmt.Errorf("the answer is %s, not %s: %s", got, want, answer)
@@ -114,15 +114,15 @@
 		return fmt.Errorf("the answer %q is not that of the request %q", answer, values["body"])
 	}
 	if status == http.StatusTooManyRequests && headers.Get("Retry-After") == "" {
-		return errors.New("the refusal does not say when to return")
+		return errors.New("the answer has status 429 but no Retry-After header")
 	}
-	if limit := number(values, "within", 0); limit > 0 && took > time.Duration(limit)*time.Millisecond {
+	if limit := intOption(values, "within", 0); limit > 0 && took > time.Duration(limit)*time.Millisecond {
 		return fmt.Errorf("the answer took %s", took)
 	}
 	return nil
 }
 
-// jobVerb posts a job: NAME ENTRY WORKLOAD TASKS [key=K] [want=KIND]; or cancels it: cancel NAME ENTRY.
+// jobVerb submits a job: NAME ENTRY WORKLOAD TASKS [key=K] [want=KIND]; or cancels it: cancel NAME ENTRY.
 func (s *Stage) jobVerb(args []string) (string, error) {
 	values, rest := options(args)
 	if rest[0] == "cancel" {
@@ -138,7 +138,7 @@
 		return "", err
 	}
 	if want, ok := values["want"]; ok && want != "accepted" {
-		if kind := kindOf(answer); !slices.Contains(strings.Split(want, ","), kind) {
+		if kind := errorKind(answer); !slices.Contains(strings.Split(want, ","), kind) {
 			return "", fmt.Errorf("the answer is %s, not %s: %s", kind, want, answer)
 		}
 		return string(answer), nil
@@ -156,15 +156,15 @@
 	return string(answer), nil
 }
 
-// postJob posts a job, again while it is refused for now if a retry is wanted.
+// postJob submits a job; with retry it repeats a submission that is answered with status 503.
 func (s *Stage) postJob(url, body string, retry bool) (int, []byte, error) {
 	var status int
 	var answer []byte
-	err := eventually(awaitLimit, func() error {
+	err := eventually(awaitTimeout, func() error {
 		var err error
 		status, answer, _, err = s.post("POST", url, []byte(body), nil)
 		if err == nil && retry && status == http.StatusServiceUnavailable {
-			return fmt.Errorf("refused for now: %s", answer)
+			return fmt.Errorf("temporarily refused: %s", answer)
 		}
 		return err
 	})
@@ -183,7 +183,7 @@
 	return string(answer), err
 }
 
-// jobState is what an entry says of a job.
+// jobState is the state of a job in an entry's answer.
 type jobState struct {
 	State     string `json:"state"`
 	Tasks     int    `json:"tasks"`
@@ -202,12 +202,12 @@
 	}
 	status, answer, _, err := s.post("GET", "http://"+address+"/v1/jobs/"+s.jobs[name], nil, nil)
 	if err != nil || status != http.StatusOK {
-		return state, fmt.Errorf("the job cannot be read: %d %s %w", status, answer, err)
+		return state, fmt.Errorf("cannot read the job: %d %s %w", status, answer, err)
 	}
 	return state, json.Unmarshal(answer, &state)
 }
 
-// loadVerb sends steady requests: NAME SERVICE ENTRY... [rate=N] [repeat=yes] [deadline=MS].
+// loadVerb sends requests at a steady rate: NAME SERVICE ENTRY... [rate=N] [repeat=yes] [deadline=MS].
 func (s *Stage) loadVerb(args []string) (string, error) {
 	values, rest := options(args)
 	headers := map[string]string{"X-Deadline-Ms": "5000"}
@@ -217,22 +217,22 @@
 	if deadline, ok := values["deadline"]; ok {
 		headers["X-Deadline-Ms"] = deadline
 	}
-	return "", s.startLoad(rest[0], rest[1], rest[2:], number(values, "rate", 100), headers)
+	return "", s.startLoad(rest[0], rest[1], rest[2:], intOption(values, "rate", 100), headers)
 }
 
-// unloadVerb ends a load and judges it: NAME [failed=N at most] [atleast=N answered].
+// unloadVerb ends a load and checks its results: NAME [failed=N at most] [atleast=N answered].
 func (s *Stage) unloadVerb(args []string) (string, error) {
 	values, rest := options(args)
 	l, ok := s.loads[rest[0]]
 	if !ok {
-		return "", fmt.Errorf("there is no load %s", rest[0])
+		return "", fmt.Errorf("unknown load %s", rest[0])
 	}
 	l.stop()
 	answered := l.results["200"]
-	if allowed, given := values["failed"]; given && l.sent-answered > number(values, "failed", 0) {
+	if allowed, given := values["failed"]; given && l.sent-answered > intOption(values, "failed", 0) {
 		return "", fmt.Errorf("more than %s requests failed: %s", allowed, l.summary())
 	}
-	if answered < number(values, "atleast", 1) {
+	if answered < intOption(values, "atleast", 1) {
 		return "", fmt.Errorf("too few requests were answered: %s", l.summary())
 	}
 	if l.results["wrong answer"] > 0 {
@@ -241,25 +241,26 @@
 	return l.summary(), nil
 }
 
-// booksVerb judges by the workers' books, and with executed=BODY:N how often a request ran; times=BODY:N is at most N.
+// booksVerb checks the histories of the workers, with spans=N their number of runs, and how often a request was executed:
+// executed=BODY:N exactly, atmost=BODY:N at most.
 func (s *Stage) booksVerb(args []string) (string, error) {
-	if err := s.checkBooks(); err != nil {
+	if err := s.checkHistories(); err != nil {
 		return "", err
 	}
-	spans, executed, _, err := s.allBooks()
+	spans, executed, _, err := s.allHistories()
 	if err != nil {
 		return "", err
 	}
 	values, _ := options(args)
 	for key, value := range values {
 		body, count, _ := strings.Cut(value, ":")
-		want := number(map[string]string{"n": count}, "n", 0)
+		want := intOption(map[string]string{"n": count}, "n", 0)
 		if key == "spans" && strconv.Itoa(len(spans)) != value {
-			return "", fmt.Errorf("the books hold %d runs, not %s", len(spans), value)
+			return "", fmt.Errorf("the histories contain %d runs, not %s", len(spans), value)
 		}
 		if (key == "executed" && executed[body] != want) || (key == "atmost" && executed[body] > want) {
 			return "", fmt.Errorf("%q was run %d times, not %s", body, executed[body], value)
 		}
 	}
-	return fmt.Sprintf("%d runs and %d request bodies in the books", len(spans), len(executed)), nil
+	return fmt.Sprintf("%d runs and %d request bodies in the histories", len(spans), len(executed)), nil
 }
