--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -93,7 +93,7 @@
 func CheckSuperseded(ctx context.Context, s store.Store, cellName, address string) error {
 	lease, err := s.Holder(ctx, LeaseName(cellName))
 	if err != nil || lease.Holder() == address {
-		return nil //nolint:nilerr // without the store's answer the lead stays the best that is known
+		return nil //nolint:nilerr // without the answer of the store the leader counts as valid
 	}
 	return fault.New(fault.Stale, "the lease of %s is no longer held by %s", cellName, address)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -73,7 +73,7 @@
 	MaxInterference float64
 }
 
-// DefaultWeights returns the weights with which the simulated days of proving/decision were measured.
+// DefaultWeights returns the weights of placement, which the simulated days of proving/decision use as well.
 func DefaultWeights() Weights {
 	return Weights{Fit: 1, Spread: 4, Interference: 6, MaxInterference: 0.12}
 }
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -29,7 +29,7 @@
 	Cooldown time.Duration
 }
 
-// DefaultPolicy returns the policy with which the simulated days of proving/decision were measured.
+// DefaultPolicy returns the policy of agents and leaders, which the simulated days of proving/decision use as well.
 func DefaultPolicy() Policy {
 	return Policy{
 		Slack: 0.09, SafeRatio: 0.8, HeadroomShare: 0.15, MaxSlack: 1, BreachRatio: 0.9, LookAhead: 2 * time.Second, MinThrottle: 10, RaiseStep: 20,
